--- a/packages/gateway/src/telemetry/event-log.test.ts
+++ b/packages/gateway/src/telemetry/event-log.test.ts
@@ -7,7 +7,7 @@
 
 const moduleUrl = new URL('event-log.js', `file://${path.resolve(import.meta.dirname)}/`).href;
 
-/** Runs a program that writes to the log of a process of its own. */
+/** Starts a child process that runs `body` with an event log on its standard output. */
 const startWriter = (body: string) => spawn(process.execPath, ['--input-type=module', '--eval', `import {openEventLog} from ${JSON.stringify(moduleUrl)}; const log = openEventLog('writer'); ${body}`], {stdio: ['ignore', 'pipe', 'pipe']});
 
 const readAll = async (stream: AsyncIterable<Uint8Array>): Promise<string> => {
@@ -21,9 +21,9 @@
 
 const readLines = (text: string): Array<Record<string, unknown>> => text.trim().split('\n').map(line => JSON.parse(line) as Record<string, unknown>);
 
-test('a reader that takes nothing does not stop the process', async t => {
-	// Whoever collects the logs hangs. If a line waited for room in the pipe, all calls of the daemon
-	// would stand still with it.
+test('a reader that does not consume the log does not block the process', async t => {
+	// Guards against blocking writes: if the log collector hangs, the pipe fills up, and a write that
+	// waits for space would block all calls of the daemon.
 	const writer = startWriter(`
 		const error = 'x'.repeat(100_000);
 		for (let count = 0; count < 150; count++) {
@@ -35,16 +35,16 @@
 		}, 50);
 	`);
 	t.after(() => writer.kill('SIGKILL'));
-	const [said] = await once(writer.stderr, 'data') as [Uint8Array];
-	assert.equal(new TextDecoder().decode(said), 'alive');
+	const [output] = await once(writer.stderr, 'data') as [Uint8Array];
+	assert.equal(new TextDecoder().decode(output), 'alive');
 });
 
-test('a flood of one event is bounded, what was left out is counted, and refusals go before what was served', async () => {
-	// A burst writes thousands of lines a second. Were the bound one for all, the lines of calls that
-	// were served would push out the one of the call that somebody complains about.
+test('lines of one event are rate limited and counted, with a higher limit for failures', async () => {
+	// Guards against losing the lines of failed calls: a burst writes thousands of lines per second, and
+	// with a single limit the lines of served calls would displace them.
 	const writer = startWriter(`
-		// The bound is for each second: the flood must not lie in two of them.
-		while (performance.now() % 1000 > 300) { /* until the next one */ }
+		// The limit applies to each second, so all lines must be written within the same one.
+		while (performance.now() % 1000 > 300) { /* wait for the start of a second */ }
 		for (let count = 0; count < 1000; count++) {
 			log.write('routine', 'call_ended', {request: 's-' + count});
 		}
--- a/packages/gateway/src/telemetry/event-log.ts
+++ b/packages/gateway/src/telemetry/event-log.ts
@@ -1,68 +1,68 @@
 /**
- * Structured log lines on standard output, bounded for each event and second. Writing never
- * waits: what a slow reader does not take is dropped and counted.
+ * Structured logging to standard output with a rate limit per event. Writing never blocks: lines that
+ * a slow reader leaves no buffer space for are dropped and counted.
  */
 import {performance} from 'node:perf_hooks';
 import pino from 'pino';
 import {type EventName, type FieldsOf} from './log-events.js';
 
-/** How much an event matters: failures of requests are never left out before successes. */
-export type Weight = 'routine' | 'failure' | 'state';
+/** Selects the rate limit of a line. Failures have the highest limit, so that lines of successful requests are left out first. */
+export type EventCategory = 'routine' | 'failure' | 'state';
 
-/** Lines a second for each event; a daemon of today gets about 20 requests a second in all. */
-const linesPerSecond: Readonly<Record<Weight, number>> = {routine: 40, failure: 200, state: 50};
+/** Rate limit per event. A daemon currently receives about 20 requests per second. */
+const maxLinesPerSecond: Readonly<Record<EventCategory, number>> = {routine: 40, failure: 200, state: 50};
 
-/** Bytes that wait for a slow reader at most; later lines are dropped. */
+/** Maximum size of the buffer for a slow reader. Further lines are dropped. */
 const maxBufferedBytes = 1_048_576;
 
-/** Bytes gathered before a write: one system call for several lines. */
-const gatheredBytes = 4096;
+/** Lines are buffered up to this size, so that one system call writes several of them. */
+const minWriteBytes = 4096;
 
-const flushEveryMs = 500;
+const flushIntervalMs = 500;
 
 export type EventLog = {
-	readonly write: <Event extends EventName>(weight: Weight, event: Event, fields?: FieldsOf<Event>) => void;
+	readonly write: <Event extends EventName>(category: EventCategory, event: Event, fields?: FieldsOf<Event>) => void;
 	readonly flush: () => void;
 };
 
-type Window = {
+type RateWindow = {
 	second: number;
 	written: number;
-	left: number;
+	leftOut: number;
 };
 
 export const openEventLog = (instance: string): EventLog => {
 	const destination = pino.destination({
-		dest: 1, sync: false, minLength: gatheredBytes, maxLength: maxBufferedBytes,
+		dest: 1, sync: false, minLength: minWriteBytes, maxLength: maxBufferedBytes,
 	});
 	let dropped = 0;
 	destination.on('drop', () => {
 		dropped++;
 	});
 	const logger = pino({base: {instance}, timestamp: pino.stdTimeFunctions.epochTime, formatters: {level: label => ({level: label})}}, destination);
-	const windows = new Map<string, Window>();
+	const windows = new Map<string, RateWindow>();
 	const flushTimer = setInterval(() => {
 		destination.flush();
-	}, flushEveryMs);
+	}, flushIntervalMs);
 	flushTimer.unref();
 
-	const isWithinBound = (weight: Weight, event: string): boolean => {
+	const isWithinRateLimit = (category: EventCategory, event: string): boolean => {
 		const second = Math.floor(performance.now() / 1000);
-		const window = windows.get(event) ?? {second, written: 0, left: 0};
+		const window = windows.get(event) ?? {second, written: 0, leftOut: 0};
 		windows.set(event, window);
 		if (window.second !== second) {
-			if (window.left > 0) {
-				const fields: FieldsOf<'lines_left_out'> = {of: event, count: window.left, dropped};
+			if (window.leftOut > 0) {
+				const fields: FieldsOf<'lines_left_out'> = {of: event, count: window.leftOut, dropped};
 				logger.warn({event: 'lines_left_out', ...fields});
 			}
 
 			window.second = second;
 			window.written = 0;
-			window.left = 0;
+			window.leftOut = 0;
 		}
 
-		if (window.written >= linesPerSecond[weight]) {
-			window.left++;
+		if (window.written >= maxLinesPerSecond[category]) {
+			window.leftOut++;
 			return false;
 		}
 
@@ -71,13 +71,13 @@
 	};
 
 	return {
-		write(weight, event, fields) {
-			if (!isWithinBound(weight, event)) {
+		write(category, event, fields) {
+			if (!isWithinRateLimit(category, event)) {
 				return;
 			}
 
 			const line = {event, ...fields};
-			if (weight === 'failure') {
+			if (category === 'failure') {
 				logger.warn(line);
 			} else {
 				logger.info(line);
@@ -87,7 +87,7 @@
 			try {
 				destination.flushSync();
 			} catch {
-				// The destination is not open yet or already closed; there is nowhere left to say so.
+				// The destination is not open yet or is already closed, so the error cannot be logged either.
 			}
 		},
 	};
--- a/packages/gateway/src/telemetry/explain-request.test.ts
+++ b/packages/gateway/src/telemetry/explain-request.test.ts
@@ -6,7 +6,7 @@
 	level: 'info', time, instance, event, ...fields,
 });
 
-test('the story of a request has its own lines and the beliefs that decided it, in order', () => {
+test('the lines of a request and the state changes that affected it are listed in chronological order', () => {
 	const logs = [
 		[
 			write(1000, 'a', 'backend_unreachable', {backend: 'x', reason: 'connect_timeout'}),
@@ -22,7 +22,7 @@
 			'{"time":12',
 		].join('\n'),
 	];
-	const story = explainRequest('r', logs).map(line => line.split(' ').slice(1, 3).join(' '));
-	assert.deepEqual(story, ['a backend_unreachable', 'a call_placed', 'a limit_reached', 'a call_ended']);
+	const events = explainRequest('r', logs).map(line => line.split(' ').slice(1, 3).join(' '));
+	assert.deepEqual(events, ['a backend_unreachable', 'a call_placed', 'a limit_reached', 'a call_ended']);
 	assert.deepEqual(explainRequest('unknown', logs), []);
 });
--- a/packages/gateway/src/telemetry/explain-request.ts
+++ b/packages/gateway/src/telemetry/explain-request.ts
@@ -1,11 +1,11 @@
-/** The story of one request, out of the logs of several daemons. */
+/** Collects the log lines that explain one request from the logs of several daemons. */
 import * as z from 'zod';
 
 const lineSchema = z.looseObject({time: z.number(), instance: z.string(), event: z.string()});
 
 type Line = z.infer<typeof lineSchema>;
 
-/** Events that change what a daemon believes and may explain what became of a request. */
+/** Events that change a daemon's state and may explain the outcome of a request. */
 const stateEvents = new Set([
 	'started',
 	'configuration_taken',
@@ -27,8 +27,8 @@
 	'lines_left_out',
 ]);
 
-/** SharedState so long before the request's first line are shown, in milliseconds. */
-const beforeMs = 5000;
+/** State events from this time before the request's first line on are included. */
+const stateLookbackMs = 5000;
 
 const parseLine = (text: string): Line | undefined => {
 	const start = text.indexOf('{');
@@ -39,7 +39,7 @@
 	try {
 		return lineSchema.safeParse(JSON.parse(text.slice(start))).data;
 	} catch {
-		// Not a line of ours: a start message of the runtime, or a line that was cut off.
+		// Not a log line of a daemon, such as a runtime message, or a truncated line.
 		return undefined;
 	}
 };
@@ -49,7 +49,7 @@
 	return `${new Date(time).toISOString()} ${instance} ${event} ${details.join(' ')}`;
 };
 
-const isAbout = (line: Line, backends: ReadonlySet<unknown>, accounts: ReadonlySet<unknown>): boolean => {
+const isRelevant = (line: Line, backends: ReadonlySet<unknown>, accounts: ReadonlySet<unknown>): boolean => {
 	if (line.backend !== undefined) {
 		return backends.has(line.backend);
 	}
@@ -58,20 +58,21 @@
 };
 
 /**
- * Lines of the request and of the state that decided it, in the order of time. State changes are those
- * of the daemons that served it, about the backend servers and the account it met.
+ * Returns the lines of the request and of the state changes that may have affected it, in chronological
+ * order. State changes are limited to the daemons that served the request, and to its backend servers
+ * and client account.
  */
-export const explainRequest = (requestId: string, texts: readonly string[]): string[] => {
-	const lines = texts.flatMap(text => text.split('\n')).map(text => parseLine(text)).filter(line => line !== undefined);
-	const own = lines.filter(line => line.request === requestId);
-	const instances = new Set(own.map(line => line.instance));
-	const backends = new Set(own.map(line => line.backend).filter(backend => backend !== undefined));
-	const accounts = new Set(own.map(line => line.account).filter(account => account !== undefined));
-	const first = Math.min(...own.map(line => line.time));
-	const last = Math.max(...own.map(line => line.time));
-	const changes = lines.filter(line => stateEvents.has(line.event) && instances.has(line.instance)
-		&& line.time >= first - beforeMs && line.time <= last && isAbout(line, backends, accounts));
-	return [...own, ...changes]
+export const explainRequest = (requestId: string, logTexts: readonly string[]): string[] => {
+	const lines = logTexts.flatMap(text => text.split('\n')).map(text => parseLine(text)).filter(line => line !== undefined);
+	const ownLines = lines.filter(line => line.request === requestId);
+	const instances = new Set(ownLines.map(line => line.instance));
+	const backends = new Set(ownLines.map(line => line.backend).filter(backend => backend !== undefined));
+	const accounts = new Set(ownLines.map(line => line.account).filter(account => account !== undefined));
+	const first = Math.min(...ownLines.map(line => line.time));
+	const last = Math.max(...ownLines.map(line => line.time));
+	const stateLines = lines.filter(line => stateEvents.has(line.event) && instances.has(line.instance)
+		&& line.time >= first - stateLookbackMs && line.time <= last && isRelevant(line, backends, accounts));
+	return [...ownLines, ...stateLines]
 		.toSorted((left, right) => left.time - right.time)
 		.map(line => formatLine(line));
 };
--- a/packages/gateway/src/telemetry/gateway-metrics.ts
+++ b/packages/gateway/src/telemetry/gateway-metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and histograms of the gateway, served on the metrics address. Label values are bounded: services, routes' kinds and closed lists. */
+/** Prometheus metrics of the gateway. Label values come from bounded sets: services, kinds of routes and fixed lists. */
 import {
 	collectDefaultMetrics,
 	Counter,
@@ -7,8 +7,8 @@
 	Registry,
 } from 'prom-client';
 
-/** Bounds in seconds: from a plain answer of some milliseconds to the longest stream. */
-const secondsBuckets = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1, 1.5, 3, 6, 15, 30];
+/** Histogram buckets in seconds, from plain responses of a few milliseconds to the longest streams. */
+const durationBucketsS = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1, 1.5, 3, 6, 15, 30];
 
 export type GatewayMetrics = {
 	readonly registry: Registry;
@@ -24,7 +24,7 @@
 };
 
 export type DependencyAnswers = {
-	/** When each dependency last answered, on the clock that `now` reads, in milliseconds; one that never did is missing. */
+	/** When each dependency last answered, in milliseconds on the clock of `now`. A dependency that never answered has no entry. */
 	readonly answeredAt: ReadonlyMap<string, number>;
 	readonly now: () => number;
 };
@@ -38,10 +38,10 @@
 			name: 'shallotpass_gateway_calls_total', help: 'Calls of callers by what became of them', labelNames: ['service', 'kind', 'outcome'], registers,
 		}),
 		callSeconds: new Histogram({
-			name: 'shallotpass_gateway_call_seconds', help: 'Seconds from a request\'s head to the end of its answer', labelNames: ['service', 'kind'], buckets: secondsBuckets, registers,
+			name: 'shallotpass_gateway_call_seconds', help: 'Seconds from a request\'s head to the end of its answer', labelNames: ['service', 'kind'], buckets: durationBucketsS, registers,
 		}),
 		firstByteSeconds: new Histogram({
-			name: 'shallotpass_gateway_first_byte_seconds', help: 'Seconds from a request\'s head to the head of its answer', labelNames: ['service', 'kind'], buckets: secondsBuckets, registers,
+			name: 'shallotpass_gateway_first_byte_seconds', help: 'Seconds from a request\'s head to the head of its answer', labelNames: ['service', 'kind'], buckets: durationBucketsS, registers,
 		}),
 		attempts: new Counter({
 			name: 'shallotpass_gateway_attempts_total', help: 'Calls sent to backend servers by outcome', labelNames: ['service', 'outcome'], registers,
@@ -65,6 +65,7 @@
 	};
 };
 
+/** Adds the default process metrics, such as CPU time, memory and event loop lag. */
 export const collectProcessFigures = (metrics: GatewayMetrics): void => {
 	collectDefaultMetrics({register: metrics.registry});
 };
--- a/packages/gateway/src/telemetry/log-events.test.ts
+++ b/packages/gateway/src/telemetry/log-events.test.ts
@@ -11,12 +11,12 @@
 	.map(name => readFileSync(path.join(root, folder, name), 'utf8'))
 	.join('\n');
 
-/** The directory's events are named by the kind of change. */
+/** Whether the sources write the event. Events of directory changes have computed names, made from the kind of change. */
 const isWritten = (event: string, sources: string): boolean => sources.includes(`'${event}'`)
-	|| (event.startsWith('backend_') && sources.includes('`backend_${change.kind}`') && sources.includes(`kind: '${event.slice('backend_'.length)}'`)); // eslint-disable-line no-template-curly-in-string -- the text of the source
+	|| (event.startsWith('backend_') && sources.includes('`backend_${change.kind}`') && sources.includes(`kind: '${event.slice('backend_'.length)}'`)); // eslint-disable-line no-template-curly-in-string -- matches source text
 
-test('each event of the table is written somewhere, and each has a meaning', () => {
-	// A page that lists events which nobody writes sends an engineer on call looking for lines that never come.
+test('every event of the table is written by the sources and has a meaning', () => {
+	// Guards against documented events that are never written, which an operator would search for in vain.
 	const sources = ['packages/gateway/src', 'apps/daemon/src'].map(folder => readSources(folder)).join('\n');
 	const unwritten = Object.keys(logEvents).filter(event => !isWritten(event, sources));
 	assert.deepEqual(unwritten, []);
--- a/packages/gateway/src/telemetry/log-events.ts
+++ b/packages/gateway/src/telemetry/log-events.ts
@@ -1,6 +1,6 @@
 /**
- * All events that a gateway daemon writes, with their fields. The compiler holds each line of the code
- * against this table, and the page for operators is made from it. Times are in milliseconds.
+ * All log events of a gateway daemon with their fields. The compiler checks every log call against this
+ * table, and the operators' reference page is generated from it. Times are in milliseconds.
  */
 
 export type LogEvent = {
@@ -8,7 +8,7 @@
 	readonly fields: readonly string[];
 };
 
-/* eslint-disable @typescript-eslint/naming-convention -- events are named as logs show them */
+/* eslint-disable @typescript-eslint/naming-convention -- event names as they appear in the logs */
 export const logEvents = {
 	started: {meaning: 'The process listens; its settings were read', fields: ['incarnation', 'listen', 'isFirstStart']},
 	store_source_changed: {
--- a/packages/gateway/src/telemetry/metrics-listener.ts
+++ b/packages/gateway/src/telemetry/metrics-listener.ts
@@ -1,11 +1,11 @@
-/** Serves counters and histograms on an address of their own, so that a burst of callers and the balancer's questions do not wait for a scrape. */
+/** Serves metrics on a separate address, so that bursts of calls and readiness checks are not delayed by scrapes. */
 import http from 'node:http';
 import {parseHostAndPort} from '../host-and-port.js';
 import {type GatewayState} from '../gateway-state.js';
 
 const metricsPath = '/metrics';
 
-const answerScrape = async (gateway: GatewayState, request: http.IncomingMessage, response: http.ServerResponse): Promise<void> => {
+const handleScrape = async (gateway: GatewayState, request: http.IncomingMessage, response: http.ServerResponse): Promise<void> => {
 	if (request.url !== metricsPath) {
 		response.writeHead(404, {'Content-Length': '0'}).end();
 		return;
@@ -17,8 +17,8 @@
 };
 
 /**
- * Undefined when no address is set. An address that cannot be had is told in the log and stops
- * nothing: callers are served without metrics, too.
+ * Starts the metrics listener, or returns undefined if no address is configured. A listen error is only
+ * logged, as callers can be served without metrics.
  */
 export const listenForMetrics = (gateway: GatewayState): http.Server | undefined => {
 	const address = gateway.settings.listen.metrics;
@@ -27,7 +27,7 @@
 	}
 
 	const server = http.createServer((request, response) => {
-		void answerScrape(gateway, request, response);
+		void handleScrape(gateway, request, response);
 	});
 	server.on('error', error => {
 		gateway.log.write('failure', 'metrics_unavailable', {address, reason: error.message});
