--- a/packages/gateway/src/calls/admit-call.ts
+++ b/packages/gateway/src/calls/admit-call.ts
@@ -10,7 +10,7 @@
 import {hashText, hashTextWide} from '@shallotpass/core/routing/rank-by-rendezvous.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type CallerHead} from '../ports.js';
-import {readRequestBody} from './body.js';
+import {readRequestBody} from './read-request-body.js';
 import {type Refusal} from './refusal.js';
 import {type OutgoingRequest} from './run-at-backend.js';
 import {takeQuota} from './take-quota.js';
--- a/packages/gateway/src/calls/backend-registry.ts
+++ b/packages/gateway/src/calls/backend-registry.ts
@@ -10,7 +10,7 @@
 import {BackendAgent} from './backend-agent.js';
 
 /** Number of ranks for which pending prompt tokens are counted separately. Less urgent ranks are counted with the last one. */
-export const countedRanks = 3;
+export const trackedRankCount = 3;
 
 /** Assumed duration of a plain call until one has been measured. The operators' specifications give 21 to 43 ms. */
 const initialPlainMs = 30;
@@ -64,7 +64,7 @@
 	readonly paces: Map<string, ServicePace>;
 };
 
-export const openBackendRegistry = (): BackendRegistry => ({byId: new Map(), byService: new Map(), paces: new Map()});
+export const makeBackendRegistry = (): BackendRegistry => ({byId: new Map(), byService: new Map(), paces: new Map()});
 
 const makeBackendState = (entry: BackendEntry, now: number): BackendState => ({
 	entry,
@@ -72,9 +72,9 @@
 	incarnationHash: hashText(formatIncarnation(entry)),
 	agent: new BackendAgent(),
 	running: 0,
-	pendingTokens: Array.from<number>({length: countedRanks}).fill(0),
+	pendingTokens: Array.from<number>({length: trackedRankCount}).fill(0),
 	othersRunning: 0,
-	othersPendingTokens: Array.from<number>({length: countedRanks}).fill(0),
+	othersPendingTokens: Array.from<number>({length: trackedRankCount}).fill(0),
 	reading: emptyRecord,
 	othersReading: noReading,
 	plainMs: initialPlainMs,
@@ -116,7 +116,7 @@
 };
 
 /** Applies the directory to the registry. Running calls keep the state of the backend server they were sent to. */
-export const takeDirectory = (registry: BackendRegistry, directory: Directory, times: DepartureTimes): RegistryChange[] => {
+export const applyDirectory = (registry: BackendRegistry, directory: Directory, times: DepartureTimes): RegistryChange[] => {
 	const {now} = times;
 	const changes: RegistryChange[] = [];
 	for (const [id, state] of registry.byId) {
@@ -178,13 +178,13 @@
 };
 
 /** Speed of a backend server, computed from the measurements of all daemons and the average of its service. */
-export const getPace = (registry: BackendRegistry, state: BackendState, now: number): ServicePace => {
+export const getBackendPace = (registry: BackendRegistry, state: BackendState, now: number): ServicePace => {
 	const pace = registry.paces.get(state.entry.service) ?? firstPace;
 	return {...pace, tokensPerMs: computeEngineSpeed([readRecord(state.reading, now), state.othersReading], pace)};
 };
 
 /** Whether this daemon sends its calls to backend servers of its own availability zone only, for all services alike. */
-export const isOwnZoneAlone = (registry: BackendRegistry, ownZone: string): boolean => {
+export const prefersOwnZone = (registry: BackendRegistry, ownZone: string): boolean => {
 	let inZone = 0;
 	for (const {entry} of registry.byId.values()) {
 		inZone += entry.availabilityZone === ownZone ? 1 : 0;
--- a/packages/gateway/src/calls/call-tries.ts
+++ b/packages/gateway/src/calls/call-attempts.ts
@@ -5,10 +5,10 @@
 import {takeRepeat} from '@shallotpass/core/retries/repeat-allowance.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type AdmittedCall, type CallContext} from './admit-call.js';
-import {getPace} from './backend-registry.js';
+import {getBackendPace} from './backend-registry.js';
 import {type Placement, placeCall} from './place-call.js';
 import {type Refusal} from './refusal.js';
-import {getRetryAllowance, getRetryLimit} from './repeat-limits.js';
+import {getRetryAllowance, getRetryLimit} from './retry-limits.js';
 import {type Attempt, type AttemptResult, runAtBackend} from './run-at-backend.js';
 
 /** Maximum number of backend servers that one call is sent to. Each refusal costs a round trip. */
@@ -101,7 +101,7 @@
 	const result = await runAtBackend(gateway, call, placement, outgoing, signal);
 	gateway.log.write(result.kind === 'answered' ? 'routine' : 'failure', 'call_placed', {
 		request: call.id, service: call.service, backend: state.entry.id, predictedMs: Math.round(choice.predictedMs), cachedTokens,
-		own: state.running, others: state.othersRunning, tokensPerMs: Math.round(getPace(gateway.registry, state, gateway.clocks.steady()).tokensPerMs), offer: progress.offers,
+		own: state.running, others: state.othersRunning, tokensPerMs: Math.round(getBackendPace(gateway.registry, state, gateway.clocks.steady()).tokensPerMs), offer: progress.offers,
 		result: result.kind, reason: result.kind === 'answered' ? result.response.statusCode : result.reason,
 	});
 	if (result.kind !== 'answered') {
--- a/packages/gateway/src/calls/callers-listener.ts
+++ b/packages/gateway/src/calls/callers-listener.ts
@@ -65,7 +65,7 @@
 const isReady = (gateway: GatewayState): boolean => gateway.configuration !== undefined && gateway.directorySince !== undefined && gateway.hasSpending && gateway.drainingSince === undefined;
 
 /** Answers readiness checks: 200 while this daemon accepts calls, otherwise 503. */
-export const listenForReady = async (gateway: GatewayState): Promise<http.Server> => {
+export const listenForReadinessChecks = async (gateway: GatewayState): Promise<http.Server> => {
 	const server = http.createServer({keepAliveTimeout: 15_000}, (_request, response) => {
 		response.statusCode = isReady(gateway) ? 200 : 503;
 		response.setHeader('Content-Length', '0');
--- a/packages/gateway/src/calls/pass-plain.ts
+++ b/packages/gateway/src/calls/forward-plain-response.ts
@@ -2,7 +2,7 @@
 import {Buffer} from 'node:buffer';
 import type http from 'node:http';
 import {type IsComplete} from './backend-exchange.js';
-import {listEndToEndFields} from './hop-fields.js';
+import {listEndToEndFields} from './end-to-end-fields.js';
 
 /**
  * Responses up to this size are read completely before anything is sent to the caller, so that an
--- a/packages/gateway/src/calls/pass-stream.ts
+++ b/packages/gateway/src/calls/forward-stream.ts
@@ -3,7 +3,7 @@
 import type http from 'node:http';
 import {type IsComplete} from './backend-exchange.js';
 import {type EventSplitter} from './event-splitter.js';
-import {listEndToEndFields} from './hop-fields.js';
+import {listEndToEndFields} from './end-to-end-fields.js';
 
 const contentLengthField: ReadonlySet<string> = new Set(['content-length']);
 
--- a/packages/gateway/src/calls/move-run.ts
+++ b/packages/gateway/src/calls/move-run.ts
@@ -10,7 +10,7 @@
 import {type MovedMemory} from '../ports.js';
 import {type Placement, placeCall} from './place-call.js';
 import {type BackendState} from './backend-registry.js';
-import {getRetryAllowance, getRetryLimit} from './repeat-limits.js';
+import {getRetryAllowance, getRetryLimit} from './retry-limits.js';
 
 /**
  * Time before the departure of its backend server at which a run is moved, in milliseconds. With a
--- a/packages/gateway/src/calls/place-call.ts
+++ b/packages/gateway/src/calls/place-call.ts
@@ -7,7 +7,7 @@
 import {computeDetour, computeUnseenMs} from '@shallotpass/core/placement/spread-choices.js';
 import {countDaemons, type GatewayState, peerSilentMs} from '../gateway-state.js';
 import {
-	type BackendState, getPace, isOwnZoneAlone, toBackendView,
+	type BackendState, getBackendPace, prefersOwnZone, toBackendView,
 } from './backend-registry.js';
 
 /** Share of a service's connection limit that the known daemons use. The rest is left for daemons not known yet and for closing connections. */
@@ -51,7 +51,7 @@
 	const ready = gateway.registry.byService.get(call.service) ?? [];
 	const available = ready.filter(state => state.suspendedUntil <= now && !options.triedIncarnations.has(state.incarnation));
 	const {availabilityZone: ownZone} = gateway.settings.instance;
-	const sameZone = isOwnZoneAlone(gateway.registry, ownZone) ? available.filter(state => state.entry.availabilityZone === ownZone) : [];
+	const sameZone = prefersOwnZone(gateway.registry, ownZone) ? available.filter(state => state.entry.availabilityZone === ownZone) : [];
 	// A service without available backend servers in this zone is served by the other zones.
 	const candidates = sameZone.length > 0 ? sameZone : available;
 	const maxOwnCalls = Math.max(2, Math.floor((service?.maxConnections ?? 64) * usedConnectionShare / countDaemons(gateway)));
@@ -59,7 +59,7 @@
 	const promptHome = findHome(keyHash, candidates);
 	const unseenMs = estimateUnseenMs(gateway, call.service, candidates.length);
 	const views = candidates.map(state => toBackendView(state, {
-		pace: getPace(gateway.registry, state, now),
+		pace: getBackendPace(gateway.registry, state, now),
 		cachedTokens: countCachedTokens(call.promptParts, {has: partId => state.prefixes.has(partId), isHome: state === promptHome}),
 		detourMs: unseenMs * computeDetour(keyHash, state.incarnationHash),
 		maxOwnCalls,
--- a/packages/gateway/src/calls/run-at-backend.ts
+++ b/packages/gateway/src/calls/run-at-backend.ts
@@ -15,7 +15,7 @@
 import {parseHostAndPort} from '../host-and-port.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type MovedMemory} from '../ports.js';
-import {type BackendState, countedRanks} from './backend-registry.js';
+import {type BackendState, trackedRankCount} from './backend-registry.js';
 import {type Exchange, type IsComplete, sendToBackend} from './backend-exchange.js';
 import {type Placement} from './place-call.js';
 
@@ -196,7 +196,7 @@
 	const uncachedTokens = Math.max(0, call.promptTokens - placement.cachedTokens);
 	const workTokens = uncachedTokens + state.pendingTokens.reduce((sum, tokens) => sum + tokens, 0) + state.othersPendingTokens.reduce((sum, tokens) => sum + tokens, 0);
 	gateway.workRates.set(call.service, noteWork(gateway.workRates.get(call.service), uncachedTokens, now));
-	const rank = Math.min(countedRanks - 1, call.rank);
+	const rank = Math.min(trackedRankCount - 1, call.rank);
 	const fields = gateway.wire.toBackendFields(outgoing.callerFields, {
 		backendId: state.entry.id,
 		account: call.account,
--- a/packages/gateway/src/calls/serve-call.ts
+++ b/packages/gateway/src/calls/serve-call.ts
@@ -6,9 +6,9 @@
 import {
 	admitCall, type AdmittedCall, type CallContext, RefusedCall,
 } from './admit-call.js';
-import {type CallOutcome, isDraining} from './call-tries.js';
+import {type CallOutcome, isDraining} from './call-attempts.js';
 import {sendRefusal} from './refusal.js';
-import {getRetryAllowance, getRetryLimit} from './repeat-limits.js';
+import {getRetryAllowance, getRetryLimit} from './retry-limits.js';
 import {servePlain} from './serve-plain.js';
 import {serveStream} from './serve-stream.js';
 
--- a/packages/gateway/src/calls/serve-plain.ts
+++ b/packages/gateway/src/calls/serve-plain.ts
@@ -3,8 +3,8 @@
 import {type AdmittedCall, type CallContext} from './admit-call.js';
 import {
 	type CallOutcome, type CallProgress, discardResponse, isDraining, isServerError, makeFailureOutcome, makeUnsentOutcome, recordFirstByte, sendToBestBackend, takeRetry,
-} from './call-tries.js';
-import {forwardPlainResponse} from './pass-plain.js';
+} from './call-attempts.js';
+import {forwardPlainResponse} from './forward-plain-response.js';
 import {recordBrokenConnection} from './run-at-backend.js';
 
 export const servePlain = async (context: CallContext, admitted: AdmittedCall, signal: AbortSignal): Promise<CallOutcome> => {
--- a/packages/gateway/src/calls/serve-stream.ts
+++ b/packages/gateway/src/calls/serve-stream.ts
@@ -5,11 +5,11 @@
 import {
 	type CallOutcome, type CallProgress, discardResponse, isDraining, isServerError, makeFailureOutcome, makeUnsentOutcome, recordEvents, recordFirstByte,
 	type SendResult, sendToBestBackend, sendToPlacement, takeRetry,
-} from './call-tries.js';
+} from './call-attempts.js';
 import {type EventSplitter, makeEventSplitter} from './event-splitter.js';
 import {type MovedRun, watchDeparture} from './move-run.js';
-import {forwardPlainResponse} from './pass-plain.js';
-import {forwardEvents, writeStreamHead} from './pass-stream.js';
+import {forwardPlainResponse} from './forward-plain-response.js';
+import {forwardEvents, writeStreamHead} from './forward-stream.js';
 import {type Placement} from './place-call.js';
 import {recordBrokenConnection} from './run-at-backend.js';
 
--- a/packages/gateway/src/leader/deliver-duties.ts
+++ b/packages/gateway/src/leader/deliver-duties.ts
@@ -1,7 +1,7 @@
 /** Says to the cloud what stands in the lease's record: reports of usage and orders of backend servers. */
 import {type BackendOrder, getFence, withReport} from '@shallotpass/core/duties/fold-lease.js';
 import {type GatewayState} from '../gateway-state.js';
-import {type FieldsOf} from '../telemetry/log-events.js';
+import {type EventFields} from '../telemetry/log-events.js';
 import {type CloudReply, type DutyAuthority, type Platform} from '../ports.js';
 import {type LeaseRecord} from './lease-record.js';
 
@@ -43,7 +43,7 @@
 	const said = new Map<string, {count: number; at: number}>();
 	const now = (): number => gateway.clocks.steady();
 
-	const noteCloud = <Duty extends 'usage_report' | 'backend_order'>(duty: Duty, reply: CloudReply, fields: FieldsOf<Duty>): void => {
+	const noteCloud = <Duty extends 'usage_report' | 'backend_order'>(duty: Duty, reply: CloudReply, fields: EventFields<Duty>): void => {
 		const outcome = reply.kind === 'failed' ? reply.reason : reply.kind;
 		if (reply.kind !== 'failed') {
 			options.onCloudAnswer();
--- a/packages/gateway/src/leader/order-plan.ts
+++ b/packages/gateway/src/leader/order-plan.ts
@@ -6,7 +6,7 @@
 import {planEngines, type PlanInput, type ZoneFleet} from '@shallotpass/core/engines/plan-engines.js';
 import {firstPace} from '@shallotpass/core/placement/engine-pace.js';
 import {readWorkRate} from '@shallotpass/core/engines/work-rate.js';
-import {getPace} from '../calls/backend-registry.js';
+import {getBackendPace} from '../calls/backend-registry.js';
 import {type GatewayState, peerSilentMs} from '../gateway-state.js';
 
 /** After a refusal reclaimable backend servers of a zone are asked for again after this time, in milliseconds: the cloud says no for 12 to 15 s after a wave. */
@@ -65,7 +65,7 @@
 	/** Prompt tokens that a ready backend server reads a millisecond, in the mean. */
 	const readMeanPace = (service: string): number => {
 		const ready = gateway.registry.byService.get(service) ?? [];
-		const total = ready.reduce((sum, state) => sum + getPace(gateway.registry, state, now()).tokensPerMs, 0);
+		const total = ready.reduce((sum, state) => sum + getBackendPace(gateway.registry, state, now()).tokensPerMs, 0);
 		return ready.length === 0 ? (gateway.registry.paces.get(service) ?? firstPace).tokensPerMs : total / ready.length;
 	};
 
--- a/packages/gateway/src/peers/gossip.ts
+++ b/packages/gateway/src/peers/gossip.ts
@@ -15,7 +15,7 @@
 import {computeStoreRole, type StoreRole} from '@shallotpass/core/gossip/store-role.js';
 import {noteCrash} from '@shallotpass/core/retries/crash-register.js';
 import * as z from 'zod';
-import {isOwnZoneAlone} from '../calls/backend-registry.js';
+import {prefersOwnZone} from '../calls/backend-registry.js';
 import {type GatewayState, type HeardReport, peerSilentMs} from '../gateway-state.js';
 import {parseHostAndPort} from '../host-and-port.js';
 import {type Platform} from '../ports.js';
@@ -269,7 +269,7 @@
 		const others = [...told.values()];
 		const sum = sumReports(lastOwn, others.filter(entry => isFresh(entry)).map(({report}) => report), others.filter(entry => !isFresh(entry)).map(({report}) => report));
 		notePeer(toHeardReport(withoutOwn(sum, lastOwn)));
-		const isAlone = isOwnZoneAlone(gateway.registry, ownZone);
+		const isAlone = prefersOwnZone(gateway.registry, ownZone);
 		const forOthers = isAlone ? limitLoads(sum, () => false) : sum;
 		const zones = gateway.settings.instance.zones.filter(zone => zone !== ownZone);
 		for (const zone of zones) {
--- a/packages/gateway/src/peers/sum-other-loads.ts
+++ b/packages/gateway/src/peers/sum-other-loads.ts
@@ -2,7 +2,7 @@
 import {
 	computeServiceSpeed, firstPace, noReading, readRecord,
 } from '@shallotpass/core/placement/engine-pace.js';
-import {countedRanks} from '../calls/backend-registry.js';
+import {trackedRankCount} from '../calls/backend-registry.js';
 import {type GatewayState} from '../gateway-state.js';
 
 /** Load that was told longer ago says nothing, in milliseconds: four times the time between two rounds. */
@@ -31,8 +31,8 @@
 		}
 
 		for (const [id, load] of Object.entries(peer.loads)) {
-			const [running, ...pending] = load.slice(0, 1 + countedRanks);
-			const [tokens = 0, ms = 0] = load.slice(1 + countedRanks);
+			const [running, ...pending] = load.slice(0, 1 + trackedRankCount);
+			const [tokens = 0, ms = 0] = load.slice(1 + trackedRankCount);
 			const state = gateway.registry.byId.get(id);
 			if (state === undefined) {
 				continue;
--- a/packages/gateway/src/start-gateway.ts
+++ b/packages/gateway/src/start-gateway.ts
@@ -5,8 +5,8 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {firstRole, getLongestPause} from '@shallotpass/core/gossip/store-role.js';
 import {emptyCrashRegister} from '@shallotpass/core/retries/crash-register.js';
-import {openBackendRegistry} from './calls/backend-registry.js';
-import {type CallersListener, listenForCallers, listenForReady} from './calls/callers-listener.js';
+import {makeBackendRegistry} from './calls/backend-registry.js';
+import {type CallersListener, listenForCallers, listenForReadinessChecks} from './calls/callers-listener.js';
 import {type CallersServer} from './calls/callers-server.js';
 import {openClocks} from './clocks.js';
 import {type LeaderTask, startLeaderTask} from './leader/leader-task.js';
@@ -14,7 +14,7 @@
 import {followConfiguration} from './store/follow-configuration.js';
 import {followDirectory} from './store/follow-directory.js';
 import {listenForMetrics} from './telemetry/metrics-listener.js';
-import {collectProcessFigures, openGatewayMetrics} from './telemetry/gateway-metrics.js';
+import {collectProcessMetrics, makeGatewayMetrics} from './telemetry/gateway-metrics.js';
 import {type GatewaySettings} from './gateway-settings.js';
 import {countDaemons, type GatewayState} from './gateway-state.js';
 import {openOrderPlan} from './leader/order-plan.js';
@@ -64,7 +64,7 @@
 	random: Math.random,
 	configuration: undefined,
 	configurationCheckedAt: Number.NEGATIVE_INFINITY,
-	registry: openBackendRegistry(),
+	registry: makeBackendRegistry(),
 	directorySince: undefined,
 	buckets: new Map(),
 	spending: new Map(),
@@ -118,7 +118,7 @@
 
 export const startGateway = async (options: GatewayOptions): Promise<Gateway> => {
 	const answeredAt = new Map<string, number>();
-	const metrics = openGatewayMetrics({answeredAt, now: () => performance.now()});
+	const metrics = makeGatewayMetrics({answeredAt, now: () => performance.now()});
 	const storeCalls = new Map<string, number>();
 	const platform = options.openPlatform((topic, outcome, isAnswered) => {
 		if (isAnswered) {
@@ -131,9 +131,9 @@
 	const state = openState(options, platform, metrics);
 	const controller = new AbortController();
 	const {signal} = controller;
-	collectProcessFigures(metrics);
+	collectProcessMetrics(metrics);
 	const listener = await listenForCallers(state, options.callersServer);
-	const ready = await listenForReady(state);
+	const ready = await listenForReadinessChecks(state);
 	const scrapes = listenForMetrics(state);
 	const plan = openOrderPlan(state);
 	const parts: {duties?: LeaderTask; relay?: RelayOptions; asker?: PeerAsker} = {};
--- a/packages/gateway/src/store/follow-directory.ts
+++ b/packages/gateway/src/store/follow-directory.ts
@@ -5,7 +5,7 @@
 import {digestDirectory} from '@shallotpass/core/directory/digest-directory.js';
 import {type PeerDirectory, takePeerDirectory} from '@shallotpass/core/directory/take-from-peer.js';
 import {type Directory, emptyDirectory} from '@shallotpass/core/directory/types.js';
-import {takeDirectory} from '../calls/backend-registry.js';
+import {applyDirectory} from '../calls/backend-registry.js';
 import {type GatewaySettings} from '../gateway-settings.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type KeyedRecord, type Platform} from '../ports.js';
@@ -68,7 +68,7 @@
 	const take = (next: Directory): void => {
 		directory = dropMissing(next, now());
 		digest = digestDirectory(directory);
-		for (const change of takeDirectory(gateway.registry, directory, {now: now(), drainMs: gateway.settings.bounds.drainMs})) {
+		for (const change of applyDirectory(gateway.registry, directory, {now: now(), drainMs: gateway.settings.bounds.drainMs})) {
 			gateway.log.write('state', `backend_${change.kind}`, {
 				backend: change.entry.id, address: change.entry.address, service: change.entry.service, zone: change.entry.availabilityZone,
 				reclaimable: change.entry.isReclaimable, leavesInMs: change.entry.leavesInMs, offset: directory.next,
--- a/packages/gateway/src/telemetry/event-log.ts
+++ b/packages/gateway/src/telemetry/event-log.ts
@@ -4,7 +4,7 @@
  */
 import {performance} from 'node:perf_hooks';
 import pino from 'pino';
-import {type EventName, type FieldsOf} from './log-events.js';
+import {type EventName, type EventFields} from './log-events.js';
 
 /** Selects the rate limit of a line. Failures have the highest limit, so that lines of successful requests are left out first. */
 export type EventCategory = 'routine' | 'failure' | 'state';
@@ -21,7 +21,7 @@
 const flushIntervalMs = 500;
 
 export type EventLog = {
-	readonly write: <Event extends EventName>(category: EventCategory, event: Event, fields?: FieldsOf<Event>) => void;
+	readonly write: <Event extends EventName>(category: EventCategory, event: Event, fields?: EventFields<Event>) => void;
 	readonly flush: () => void;
 };
 
@@ -52,7 +52,7 @@
 		windows.set(event, window);
 		if (window.second !== second) {
 			if (window.leftOut > 0) {
-				const fields: FieldsOf<'lines_left_out'> = {of: event, count: window.leftOut, dropped};
+				const fields: EventFields<'lines_left_out'> = {of: event, count: window.leftOut, dropped};
 				logger.warn({event: 'lines_left_out', ...fields});
 			}
 
--- a/packages/gateway/src/telemetry/gateway-metrics.ts
+++ b/packages/gateway/src/telemetry/gateway-metrics.ts
@@ -29,7 +29,7 @@
 	readonly now: () => number;
 };
 
-export const openGatewayMetrics = ({answeredAt, now}: DependencyAnswers): GatewayMetrics => {
+export const makeGatewayMetrics = ({answeredAt, now}: DependencyAnswers): GatewayMetrics => {
 	const registry = new Registry();
 	const registers = [registry];
 	return {
@@ -66,6 +66,6 @@
 };
 
 /** Adds the default process metrics, such as CPU time, memory and event loop lag. */
-export const collectProcessFigures = (metrics: GatewayMetrics): void => {
+export const collectProcessMetrics = (metrics: GatewayMetrics): void => {
 	collectDefaultMetrics({register: metrics.registry});
 };
