--- a/packages/callers/src/caller-call.ts
+++ b/packages/callers/src/caller-call.ts
@@ -5,7 +5,7 @@
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {type Deadline} from '@shallotpass/common/types.js';
 import {type LatencyTarget} from '@shallotpass/core/routing/types.js';
-import {findClass, type AccountInForce, type InForce} from '@shallotpass/tasks/in-force.js';
+import {findClass, type TeamAccount, type InForce} from '@shallotpass/tasks/in-force.js';
 import {type Hop} from '@shallotpass/telemetry/tracing.js';
 
 export type CallerCall = {
@@ -48,7 +48,7 @@
 };
 
 /** The account that the key in Authorization belongs to. Keys are known by digest only. */
-export const authenticate = (request: IncomingMessage, inForce: InForce): AccountInForce => {
+export const authenticate = (request: IncomingMessage, inForce: InForce): TeamAccount => {
 	const match = /^Bearer +(\S+)$/iv.exec(getField(request, 'authorization') ?? '');
 	if (match === null) {
 		throw new ServingError('the Authorization field must be Bearer and a key', {kind: 'unauthenticated'});
@@ -63,7 +63,7 @@
 	return account;
 };
 
-export const checkService = ({account}: AccountInForce, service: Service): void => {
+export const checkService = ({account}: TeamAccount, service: Service): void => {
 	if (!account.services.includes(service.name)) {
 		throw new ServingError(`client account ${account.name} may not call ${service.name}`, {kind: 'forbidden'});
 	}
@@ -101,7 +101,7 @@
 };
 
 /** The class the caller asks for, or the service's own. */
-export const readClass = (request: IncomingMessage, inForce: InForce, {team, account}: AccountInForce, service: Service): CallClass => {
+export const readClass = (request: IncomingMessage, inForce: InForce, {team, account}: TeamAccount, service: Service): CallClass => {
 	const asked = getField(request, 'x-request-class');
 	if (asked !== undefined && !account.classes.includes(asked)) {
 		throw new ServingError(`client account ${account.name} may not ask for class ${asked.slice(0, 63)}`, {kind: 'forbidden'});
--- a/packages/callers/src/plain-call.ts
+++ b/packages/callers/src/plain-call.ts
@@ -6,7 +6,7 @@
 import {BackendCallError, type PlainAnswer} from '@shallotpass/backends/call-plain.js';
 import {filterRequestFields, readRawFields, type HttpField} from '@shallotpass/backends/http-fields.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
-import {findService, makeServiceId, type AccountInForce} from '@shallotpass/tasks/in-force.js';
+import {findService, makeServiceId, type TeamAccount} from '@shallotpass/tasks/in-force.js';
 import {type AttemptSignal} from './attempt-signal.js';
 import {
 	authenticate, checkService, isPatient, readClass, readDeadline, type CallClass, type CallerCall,
@@ -16,7 +16,7 @@
 export type PlainWork = {
 	readonly call: CallerCall;
 	readonly services: CallerServices;
-	readonly account: AccountInForce;
+	readonly account: TeamAccount;
 	readonly service: Service;
 	readonly serviceId: string;
 	readonly callClass: CallClass;
--- a/packages/callers/src/serve-chat.ts
+++ b/packages/callers/src/serve-chat.ts
@@ -14,7 +14,7 @@
 import {estimateTokens, hashPrompt} from '@shallotpass/core/routing/hash-prompt.js';
 import {computeBackoff} from '@shallotpass/core/retries/retry-budget.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
-import {findServiceByModel, makeServiceId, type AccountInForce} from '@shallotpass/tasks/in-force.js';
+import {findServiceByModel, makeServiceId, type TeamAccount} from '@shallotpass/tasks/in-force.js';
 import {makeFingerprint} from '@shallotpass/tasks/suspect-book.js';
 import {
 	authenticate,
@@ -58,7 +58,7 @@
 	return parsed.data;
 };
 
-const findChatService = (services: CallerServices, account: AccountInForce, model: string): Service => {
+const findChatService = (services: CallerServices, account: TeamAccount, model: string): Service => {
 	const service = findServiceByModel(services.configuration.getInForce(), account, model);
 	if (service === undefined) {
 		throw new ServingError(`model ${model.slice(0, 100)} is not served to client account ${account.account.name}`, {kind: 'not_found'});
--- a/packages/callers/src/try-engine.ts
+++ b/packages/callers/src/try-engine.ts
@@ -107,7 +107,7 @@
 
 	const isUrgent = getTarget(work.callClass) !== undefined;
 	registry.begin(engine.id, {promptTokens: unreadTokens, isUrgent});
-	const endRun = suspects.begin(engine.id, {fingerprint: work.fingerprint, getTokens: () => progress.position.tokens});
+	const endRun = suspects.trackRun(engine.id, {fingerprint: work.fingerprint, getTokens: () => progress.position.tokens});
 	let failure: unknown;
 	try {
 		const attempt = {
--- a/packages/callers/src/try-suspect.ts
+++ b/packages/callers/src/try-suspect.ts
@@ -51,7 +51,7 @@
 	const {clock} = environment;
 	let lost = new Set<string>();
 	for (;;) {
-		const engine = chooseFree(work, progress, new Set([...suspects.listOccupied(), ...lost]));
+		const engine = chooseFree(work, progress, new Set([...suspects.listReserved(), ...lost]));
 		if (engine === undefined) {
 			if (clock.now() >= work.deadline || work.call.goneSignal.aborted) {
 				throw new ServingError('no engine was free of other suspects before the deadline', {kind: 'deadline_unreachable', retryAt: addMilliseconds(clock.now(), askAgainMs)});
@@ -62,13 +62,13 @@
 			continue;
 		}
 
-		suspects.occupy(engine.id);
+		suspects.reserve(engine.id);
 		let probation: Probation | undefined;
 		try {
 			probation = await acquireProbation(work.services, engine.id, work.deadline, work.call.goneSignal); // eslint-disable-line no-await-in-loop -- the next engine only when this one is taken
 		} finally {
 			if (probation === undefined) {
-				suspects.vacate(engine.id);
+				suspects.release(engine.id);
 			}
 		}
 
@@ -93,7 +93,7 @@
 	const {engine, probation} = place;
 	let isCleared = false;
 	const leave = (): void => {
-		suspects.vacate(engine.id);
+		suspects.release(engine.id);
 		probation.leave();
 	};
 
--- a/packages/tasks/src/backend-registry.ts
+++ b/packages/tasks/src/backend-registry.ts
@@ -1,4 +1,4 @@
-/** Owns what this daemon knows of backend servers and chooses among them. */
+/** Tracks the state of all backend servers and selects one for each call. */
 import {setMaxListeners} from 'node:events';
 import {type CacheEvent} from '@shallotpass/backends/engine-events.js';
 import {leavingGraceMs} from '@shallotpass/common/constants.js';
@@ -29,46 +29,54 @@
 	view: BackendView;
 	readonly origin: Origin;
 	leavesAt: number | undefined;
-	/** Aborted when what runs there must move. */
+	/** Aborted when the calls that run on the backend server must move to another one. */
 	leaving: AbortController;
-	lastSentAt: number[];
+	/** When this daemon sent calls that the newest load report does not include. */
+	sentTimes: number[];
 	concurrency: ConcurrencyLimit;
 };
 
 /** A call that was sent to a backend server. */
 export type CallStart = {
-	/** Prompt tokens that it has to read, as far as known. */
+	/** Estimated number of prompt tokens that the engine has to process because they are not cached. */
 	readonly promptTokens: number;
-	/** Whether it has a latency target. */
+	/** Whether the call has a latency target. */
 	readonly isUrgent: boolean;
 };
 
 export type BackendRegistry = {
-	readonly takeConfiguration: (inForce: InForce) => void;
+	/** Adds and removes backend servers to match the active configurations. */
+	readonly takeConfiguration: (activeConfigurations: InForce) => void;
+	/** Adds and removes backend servers to match the instance list. */
 	readonly takeList: (list: InstanceList) => void;
-	/** A reclaim notice; calls that run there move before `leavesAt`. */
+	/** Applies a reclaim notice. Calls that run on the backend server are moved before `leavesAt`. */
 	readonly noteLeaving: (id: string, leavesAt: number | undefined) => void;
 	readonly takeReport: (id: string, report: LoadReport) => void;
-	/** What an engine says of its cache; corrects what is known from this daemon's own calls. */
+	/** Applies cache events reported by an engine. They correct what was inferred from this daemon's own calls. */
 	readonly takeCacheEvents: (id: string, events: readonly CacheEvent[]) => void;
-	/** The engine lost its cache. */
+	/** Discards what is known of the engine's cache, for example after a restart. */
 	readonly forgetCache: (id: string) => void;
+	/** Selects a backend server by the routing policy; undefined if none is available. */
 	readonly choose: (call: RoutedCall) => BackendView | undefined;
+	/** Records that a call was sent to the backend server. Each call of `begin` is followed by one of `end`. */
 	readonly begin: (id: string, start?: CallStart) => void;
-	/** It has read them. */
+	/** Records that the engine has processed the prompt tokens of a call. */
 	readonly noteRead: (id: string, promptTokens: number) => void;
 	readonly end: (id: string, isUrgent?: boolean) => void;
+	/** Records a measured speed and the prompt prefix that the engine has cached by now. */
 	readonly learn: (id: string, sample: SpeedSample, chain: readonly bigint[]) => void;
-	/** Nothing new goes there for a while. */
+	/** Sends no new calls to the backend server for a short time. */
 	readonly avoid: (id: string) => void;
 	readonly list: () => BackendView[];
 	readonly getView: (id: string) => BackendView | undefined;
+	/** Counts the prompt blocks that the engine is expected to have cached. */
 	readonly countCached: (id: string, chain: readonly bigint[]) => number;
-	/** Aborted when the backend server is about to be taken away. */
+	/** Returns a signal that is aborted shortly before the backend server is removed. */
 	readonly getLeavingSignal: (id: string) => AbortSignal | undefined;
 	readonly isLeaving: (id: string) => boolean;
+	/** Counts the backend servers that serve the service and are not leaving. */
 	readonly countServing: (serviceId: string) => number;
-	/** Calls of the service that this daemon lets run at once, over all its backend servers. */
+	/** Returns how many calls of the service may run at once: the sum of its backend servers' concurrency limits. */
 	readonly countPlaces: (serviceId: string) => number;
 };
 
@@ -77,20 +85,21 @@
 	readonly policy?: RoutingPolicy;
 };
 
-/** A call of a plain service reads no prompt. */
-const plainStart: CallStart = {promptTokens: 0, isUrgent: false};
+/** Used for calls to plain services, which have no prompt. */
+const defaultCallStart: CallStart = {promptTokens: 0, isUrgent: false};
 
-const avoidForMs = 1000;
+/** How long a backend server gets no new calls after a failure. */
+const avoidanceMs = 1000;
 
-/** Streams move this long before their backend server is taken away. */
+/** How long before the removal of a backend server its streams are moved. */
 const moveMarginMs = 1500;
 
-const mostKnownBlocks = 20_000;
+const maxKnownBlocks = 20_000;
 
-/** Sent calls that are remembered for correcting a lagging report. */
-const mostRememberedSends = 1024;
+/** Number of recent send times kept per backend server, to count the calls that a load report does not include yet. */
+const maxRememberedSends = 1024;
 
-/** Every call that runs at the backend server listens for it. */
+/** Creates a controller without a listener limit, because every call that runs on the backend server listens to its signal. */
 const makeLeavingController = (): AbortController => {
 	const controller = new AbortController();
 	setMaxListeners(0, controller.signal);
@@ -99,15 +108,15 @@
 
 export const makeBackendRegistry = ({environment, policy = chooseLowestCost}: RegistryOptions): BackendRegistry => {
 	const {clock, random, metrics, signal} = environment;
-	const mostRunning = environment.settings.limits.maxRunningPerBackend;
+	const maxRunning = environment.settings.limits.maxRunningPerBackend;
 	const logger = environment.makeLogger('backends');
 	const entries = new Map<string, Entry>();
-	const prefixes = makeKnownPrefixes(mostKnownBlocks);
-	const noticed = new Map<string, number | undefined>();
-	let inForce: InForce | undefined;
-	let lastList: InstanceList | undefined;
+	const prefixes = makeKnownPrefixes(maxKnownBlocks);
+	const leavingNotices = new Map<string, number | undefined>();
+	let activeConfigurations: InForce | undefined;
+	let instanceList: InstanceList | undefined;
 
-	const moveLater = async (entry: Entry): Promise<void> => {
+	const scheduleMove = async (entry: Entry): Promise<void> => {
 		const {leavesAt} = entry;
 		if (leavesAt === undefined) {
 			return;
@@ -125,50 +134,50 @@
 		}
 	};
 
-	const markLeaving = (entry: Entry, leavesAt: number | undefined): void => {
-		const isNews = !entry.view.isLeaving || entry.leavesAt !== leavesAt;
+	const setLeaving = (entry: Entry, leavesAt: number | undefined): void => {
+		const hasChanged = !entry.view.isLeaving || entry.leavesAt !== leavesAt;
 		entry.view = {...entry.view, isLeaving: true};
-		if (!isNews) {
+		if (!hasChanged) {
 			return;
 		}
 
 		entry.leavesAt = leavesAt ?? entry.leavesAt;
 		logger.info('backend_leaving', {backend: entry.view.id, leavesAt});
-		void moveLater(entry);
+		void scheduleMove(entry);
 	};
 
-	type Described = Pick<BackendView, 'id' | 'address' | 'availabilityZone' | 'machineClass' | 'services' | 'checksFencing'>;
+	type BackendDescription = Pick<BackendView, 'id' | 'address' | 'availabilityZone' | 'machineClass' | 'services' | 'checksFencing'>;
 
-	const put = (described: Described, origin: Origin): Entry => {
-		const price = inForce === undefined ? 0 : findPrice(inForce, described.availabilityZone, described.machineClass);
-		const known = entries.get(described.id);
-		if (known?.view.address === described.address) {
-			known.view = {...known.view, ...described, price};
-			return known;
+	const upsertEntry = (described: BackendDescription, origin: Origin): Entry => {
+		const price = activeConfigurations === undefined ? 0 : findPrice(activeConfigurations, described.availabilityZone, described.machineClass);
+		const existing = entries.get(described.id);
+		if (existing?.view.address === described.address) {
+			existing.view = {...existing.view, ...described, price};
+			return existing;
 		}
 
-		// The same id at a new address is a new process with an empty cache.
+		// The same id at a different address is a new process with an empty cache.
 		forgetBackend(prefixes, described.id);
 		const entry: Entry = {
 			view: {
-				...described, idHash: hashText(described.id), price, isLeaving: false, avoidUntil: 0, running: 0, sentSinceReport: 0, speed: unknownSpeed, pendingTokens: 0, urgent: 0, cacheTokens: 0, limit: mostRunning,
+				...described, idHash: hashText(described.id), price, isLeaving: false, avoidUntil: 0, running: 0, sentSinceReport: 0, speed: unknownSpeed, pendingTokens: 0, urgent: 0, cacheTokens: 0, limit: maxRunning,
 			},
 			origin,
 			leavesAt: undefined,
 			leaving: makeLeavingController(),
-			lastSentAt: [],
-			concurrency: makeConcurrencyLimit(mostRunning),
+			sentTimes: [],
+			concurrency: makeConcurrencyLimit(maxRunning),
 		};
 		entries.set(described.id, entry);
 		return entry;
 	};
 
-	const remove = (id: string): void => {
+	const removeEntry = (id: string): void => {
 		entries.delete(id);
 		forgetBackend(prefixes, id);
 	};
 
-	const report = (): void => {
+	const updateMetrics = (): void => {
 		const views = [...entries.values()].map(entry => entry.view);
 		metrics.backends.set({state: 'live'}, views.filter(view => !view.isLeaving).length);
 		metrics.backends.set({state: 'leaving'}, views.filter(view => view.isLeaving).length);
@@ -176,15 +185,15 @@
 
 	const rebuild = (): void => {
 		const present = new Set<string>();
-		for (const backend of inForce === undefined ? [] : listConfiguredBackends(inForce)) {
+		for (const backend of activeConfigurations === undefined ? [] : listConfiguredBackends(activeConfigurations)) {
 			const {id, address, availabilityZone, machineClass, serviceIds, checksFencing} = backend;
 			present.add(id);
-			put({
+			upsertEntry({
 				id, address, availabilityZone, machineClass, services: serviceIds, checksFencing,
 			}, 'configuration');
 		}
 
-		for (const instance of lastList?.instances ?? []) {
+		for (const instance of instanceList?.instances ?? []) {
 			if (instance.role !== 'backend') {
 				continue;
 			}
@@ -192,40 +201,40 @@
 			const {id, address, availabilityZone, machineClass, services} = instance;
 			const configured = present.has(id) ? entries.get(id) : undefined;
 			present.add(id);
-			const entry = configured ?? put({
+			const entry = configured ?? upsertEntry({
 				id, address, availabilityZone, machineClass, services, checksFencing: false,
 			}, 'list');
 			if (instance.state === 'leaving') {
-				markLeaving(entry, instance.leavesAt);
-			} else if (!noticed.has(id) && entry.view.isLeaving) {
+				setLeaving(entry, instance.leavesAt);
+			} else if (!leavingNotices.has(id) && entry.view.isLeaving) {
 				entry.view = {...entry.view, isLeaving: false};
 				entry.leavesAt = undefined;
 				entry.leaving = makeLeavingController();
 			}
 		}
 
-		for (const [id, leavesAt] of noticed) {
+		for (const [id, leavesAt] of leavingNotices) {
 			const entry = entries.get(id);
 			if (entry !== undefined) {
-				markLeaving(entry, leavesAt);
+				setLeaving(entry, leavesAt);
 			}
 
-			// A notice outlives a list that lags behind it, and no longer.
+			// The instance list can lag behind a notice, so a notice is kept for some time after the announced removal.
 			if (leavesAt !== undefined && clock.now() > leavesAt + (leavingGraceMs * 10)) {
-				noticed.delete(id);
+				leavingNotices.delete(id);
 			}
 		}
 
 		for (const id of entries.keys()) {
 			if (!present.has(id)) {
-				remove(id);
+				removeEntry(id);
 			}
 		}
 
-		report();
+		updateMetrics();
 	};
 
-	const change = (id: string, update: (view: BackendView) => BackendView): void => {
+	const updateView = (id: string, update: (view: BackendView) => BackendView): void => {
 		const entry = entries.get(id);
 		if (entry !== undefined) {
 			entry.view = update(entry.view);
@@ -234,15 +243,15 @@
 
 	return {
 		takeConfiguration(next) {
-			inForce = next;
+			activeConfigurations = next;
 			rebuild();
 		},
 		takeList(list) {
-			lastList = list;
+			instanceList = list;
 			rebuild();
 		},
 		noteLeaving(id, leavesAt) {
-			noticed.set(id, leavesAt);
+			leavingNotices.set(id, leavesAt);
 			rebuild();
 		},
 		takeReport(id, load) {
@@ -251,9 +260,9 @@
 				return;
 			}
 
-			entry.lastSentAt = entry.lastSentAt.filter(sentAt => sentAt > load.at);
+			entry.sentTimes = entry.sentTimes.filter(sentAt => sentAt > load.at);
 			entry.view = {
-				...entry.view, report: load, sentSinceReport: entry.lastSentAt.length, cacheTokens: Math.max(entry.view.cacheTokens, load.cachedTokens ?? 0),
+				...entry.view, report: load, sentSinceReport: entry.sentTimes.length, cacheTokens: Math.max(entry.view.cacheTokens, load.cachedTokens ?? 0),
 			};
 		},
 		takeCacheEvents(id, events) {
@@ -279,13 +288,13 @@
 			});
 		},
 		begin(id, start) {
-			const {promptTokens, isUrgent} = start ?? plainStart;
+			const {promptTokens, isUrgent} = start ?? defaultCallStart;
 			const entry = entries.get(id);
 			if (entry === undefined) {
 				return;
 			}
 
-			entry.lastSentAt = [...entry.lastSentAt.slice(-mostRememberedSends), clock.now()];
+			entry.sentTimes = [...entry.sentTimes.slice(-maxRememberedSends), clock.now()];
 			const {view} = entry;
 			entry.view = {
 				...view, running: view.running + 1, pendingTokens: view.pendingTokens + promptTokens, urgent: view.urgent + (isUrgent ? 1 : 0), sentSinceReport: view.report === undefined ? 0 : view.sentSinceReport + 1,
@@ -293,10 +302,10 @@
 			metrics.running.inc();
 		},
 		noteRead(id, promptTokens) {
-			change(id, view => ({...view, pendingTokens: Math.max(0, view.pendingTokens - promptTokens)}));
+			updateView(id, view => ({...view, pendingTokens: Math.max(0, view.pendingTokens - promptTokens)}));
 		},
 		end(id, isUrgent = false) {
-			change(id, view => ({...view, running: Math.max(0, view.running - 1), urgent: Math.max(0, view.urgent - (isUrgent ? 1 : 0))}));
+			updateView(id, view => ({...view, running: Math.max(0, view.running - 1), urgent: Math.max(0, view.urgent - (isUrgent ? 1 : 0))}));
 			metrics.running.dec();
 		},
 		learn(id, sample, chain) {
@@ -306,13 +315,13 @@
 			}
 
 			entry.concurrency = adaptConcurrency(entry.concurrency, {
-				now: clock.now(), running: entry.view.running, isOverloaded: isSlowedByLoad(entry.view.speed, sample) || (entry.view.report?.queued ?? 0) > 0, mostRunning,
+				now: clock.now(), running: entry.view.running, isOverloaded: isSlowedByLoad(entry.view.speed, sample) || (entry.view.report?.queued ?? 0) > 0, mostRunning: maxRunning,
 			});
 			entry.view = {...entry.view, speed: learnSpeed(entry.view.speed, sample), limit: entry.concurrency.limit};
 			notePrefix(prefixes, id, chain);
 		},
 		avoid(id) {
-			change(id, view => ({...view, avoidUntil: clock.now() + avoidForMs}));
+			updateView(id, view => ({...view, avoidUntil: clock.now() + avoidanceMs}));
 		},
 		list: () => [...entries.values()].map(entry => entry.view),
 		getView: id => entries.get(id)?.view,
@@ -330,12 +339,12 @@
 			return count;
 		},
 		countPlaces(serviceId) {
-			let places = 0;
+			let slots = 0;
 			for (const {view} of entries.values()) {
-				places += !view.isLeaving && view.services.includes(serviceId) ? view.limit : 0;
+				slots += !view.isLeaving && view.services.includes(serviceId) ? view.limit : 0;
 			}
 
-			return Math.floor(places);
+			return Math.floor(slots);
 		},
 	};
 };
--- a/packages/tasks/src/claim-service.ts
+++ b/packages/tasks/src/claim-service.ts
@@ -1,4 +1,7 @@
-/** Claims and outcomes of this daemon's calls: through the stream's writer, or directly, or through any peer that reaches the log. */
+/**
+ * Records claims and outcomes for this daemon's calls. Each request goes first to the stream's preferred writer,
+ * then directly to the log, and finally through other peers that may reach the log.
+ */
 import {waitQuietly} from '@shallotpass/common/clock.js';
 import {type Claim, type Outcome} from '@shallotpass/common/log-records.js';
 import {type LogService} from '@shallotpass/common/log-service.js';
@@ -13,16 +16,17 @@
 import {type MembershipTask} from './membership-task.js';
 
 export type ClaimService = {
-	/** Claims through whoever can reach the log; `unavailable` proves nothing about the log. */
+	/** Claims the key over the first route that reaches the log. After `unavailable`, the claim may or may not be in the log. */
 	readonly claim: (claim: Claim, deadline: Deadline, hop?: Hop) => Promise<ClaimAnswer>;
-	/** Where the key of a claim stands, without claiming. */
+	/** Returns the current state of the claim's key without claiming it. */
 	readonly lookUp: (claim: Claim, deadline: Deadline, hop?: Hop) => Promise<ClaimAnswer>;
-	/** Records the outcome; tries again until it is in the log or the claim is long over. */
+	/** Records the outcome, with retries until it is in the log or the retry window has passed. */
 	readonly recordOutcome: (claim: Claim, outcome: Outcome) => Promise<boolean>;
-	/** Resolves when nothing is left to record. */
+	/** Resolves when no outcome is waiting to be recorded. */
 	readonly settle: () => Promise<void>;
-	/** What this daemon does for a peer that took it for the writer or cannot reach the log. */
+	/** Handles a claim or lookup of a peer that regards this daemon as the writer or cannot reach the log. */
 	readonly answerPeer: (claim: Claim, isNew: boolean) => Promise<ClaimAnswer>;
+	/** Records an outcome for a peer. */
 	readonly recordForPeer: (keyName: string, outcome: Outcome) => Promise<boolean>;
 	readonly countKeys: () => number;
 };
@@ -34,38 +38,38 @@
 	readonly membership: MembershipTask;
 };
 
-type Question = {
+type ClaimQuery = {
 	readonly stream: string;
 	readonly claim: Claim;
-	/** Whether the key is claimed, or only looked up. */
+	/** True to claim the key, false to only look it up. */
 	readonly isNew: boolean;
 	readonly deadline: Deadline;
-	/** The hop that a peer's is a part of. */
+	/** Parent of the trace span of a request to a peer. */
 	readonly hop: Hop | undefined;
 };
 
-/** Time for the writer to answer before this daemon goes to the log itself. */
-const writerWithinMs = 600;
+/** How long to wait for one peer, such as the writer, before the next route is tried. */
+const peerTimeoutMs = 600;
 
-/** Peers that are asked when neither the writer nor the log answers. */
-const mostOtherPeers = 2;
+/** Number of other peers to ask when neither the writer nor the log responds. */
+const maxFallbackPeers = 2;
 
-const firstRecordRetryMs = 50;
-const longestRecordRetryMs = 2000;
+const initialRecordRetryMs = 50;
+const maxRecordRetryMs = 2000;
 
-/** An outcome is offered to the log for so long after the claim's answer deadline. */
-const recordForMs = 600_000;
+/** How long after the claim's answer deadline recording its outcome is retried. */
+const outcomeRetryWindowMs = 600_000;
 
 export const makeClaimService = ({environment, log, client, membership}: ClaimServiceOptions): ClaimService => {
 	const {clock, signal, metrics, random} = environment;
 	const logger = environment.makeLogger('claims');
 	const shards = new Map<string, ClaimShard>();
-	const recording = new Set<Promise<boolean>>();
+	const pendingOutcomes = new Set<Promise<boolean>>();
 
 	const getShard = (stream: string): ClaimShard => {
-		const known = shards.get(stream);
-		if (known !== undefined) {
-			return known;
+		const existing = shards.get(stream);
+		if (existing !== undefined) {
+			return existing;
 		}
 
 		const shard = makeClaimShard({
@@ -78,22 +82,22 @@
 		return shard;
 	};
 
-	/** Daemons to go through, in order: the writer, this one, some others. */
+	/** Lists the daemons to try in order: the writer, this daemon, then a few random peers. */
 	const listRoutes = (stream: string): string[] => {
 		const self = membership.getSelf().id;
 		const reachable = membership.listReachable();
-		// A writer that is about to stop would be asked in vain a moment later.
+		// Only steady members are considered, because a leaving writer would soon stop responding.
 		const writer = pickClaimWriter(stream, membership.listSteady()) ?? self;
 		const others = reachable
 			.filter(id => id !== writer && id !== self)
 			.map(id => ({id, order: random()}))
 			.toSorted((left, right) => left.order - right.order)
-			.slice(0, mostOtherPeers)
+			.slice(0, maxFallbackPeers)
 			.map(entry => entry.id);
 		return [...new Set([writer, self, ...others])];
 	};
 
-	const askOne = async (id: string, {stream, claim, isNew, deadline, hop}: Question): Promise<ClaimAnswer> => {
+	const claimThrough = async (id: string, {stream, claim, isNew, deadline, hop}: ClaimQuery): Promise<ClaimAnswer> => {
 		if (id === membership.getSelf().id) {
 			const shard = getShard(stream);
 			return isNew ? shard.claim(claim) : shard.lookUp(claim);
@@ -101,40 +105,40 @@
 
 		const address = membership.findAddress(id);
 		if (address === undefined) {
-			return {kind: 'unavailable', detail: `${id} has no address`};
+			return {kind: 'unavailable', detail: `the address of ${id} is unknown`};
 		}
 
 		const peerHop = hop?.makeChild('peer', {peer: id});
 		let failure: unknown;
 		try {
-			const within = Math.min(deadline, clock.now() + writerWithinMs) as Deadline;
-			return await client.ask(address, 'claim', {claim, isNew, traceparent: peerHop?.getTraceparent()}, within);
+			const timeoutAt = Math.min(deadline, clock.now() + peerTimeoutMs) as Deadline;
+			return await client.ask(address, 'claim', {claim, isNew, traceparent: peerHop?.getTraceparent()}, timeoutAt);
 		} catch (error) {
 			failure = error;
-			return {kind: 'unavailable', detail: error instanceof Error ? error.message : `${id} does not answer`};
+			return {kind: 'unavailable', detail: error instanceof Error ? error.message : `${id} does not respond`};
 		} finally {
 			peerHop?.end(failure);
 		}
 	};
 
-	const ask = async (question: Omit<Question, 'stream'>): Promise<ClaimAnswer> => {
-		const {claim, deadline} = question;
+	const claimThroughAnyRoute = async (query: Omit<ClaimQuery, 'stream'>): Promise<ClaimAnswer> => {
+		const {claim, deadline} = query;
 		const stream = pickClaimStream(makeKeyName(claim));
-		let last: ClaimAnswer = {kind: 'unavailable', detail: 'no daemon reaches the log'};
+		let lastAnswer: ClaimAnswer = {kind: 'unavailable', detail: 'no daemon can reach the log'};
 		for (const id of listRoutes(stream)) {
 			if (clock.now() >= deadline) {
 				break;
 			}
 
-			last = await askOne(id, {...question, stream}); // eslint-disable-line no-await-in-loop -- the next is asked only when this one cannot tell
-			if (last.kind !== 'unavailable') {
-				return last;
+			lastAnswer = await claimThrough(id, {...query, stream}); // eslint-disable-line no-await-in-loop -- the next route is tried only if this one is unavailable
+			if (lastAnswer.kind !== 'unavailable') {
+				return lastAnswer;
 			}
 
-			logger.debug('claim_route_failed', {stream, through: id, detail: last.detail});
+			logger.debug('claim_route_failed', {stream, through: id, detail: lastAnswer.detail});
 		}
 
-		return last;
+		return lastAnswer;
 	};
 
 	const recordThrough = async (id: string, stream: string, claim: Claim, outcome: Outcome): Promise<boolean> => {
@@ -148,25 +152,25 @@
 		}
 
 		try {
-			const {isRecorded} = await client.ask(address, 'recordOutcome', {keyName: makeKeyName(claim), outcome}, addMilliseconds(clock.now(), writerWithinMs));
+			const {isRecorded} = await client.ask(address, 'recordOutcome', {keyName: makeKeyName(claim), outcome}, addMilliseconds(clock.now(), peerTimeoutMs));
 			return isRecorded;
 		} catch {
 			return false;
 		}
 	};
 
-	const record = async (claim: Claim, outcome: Outcome): Promise<boolean> => {
+	const recordWithRetries = async (claim: Claim, outcome: Outcome): Promise<boolean> => {
 		const stream = pickClaimStream(makeKeyName(claim));
-		const giveUpAt = claim.answerBy + recordForMs;
-		for (let tries = 0; clock.now() < giveUpAt && !signal.aborted; tries++) {
-			/* eslint-disable no-await-in-loop -- one route after the other */
+		const giveUpAt = claim.answerBy + outcomeRetryWindowMs;
+		for (let attempts = 0; clock.now() < giveUpAt && !signal.aborted; attempts++) {
+			/* eslint-disable no-await-in-loop -- routes are tried one at a time */
 			for (const id of listRoutes(stream)) {
 				if (await recordThrough(id, stream, claim, outcome)) {
 					return true;
 				}
 			}
 
-			const delay = Math.min(longestRecordRetryMs, firstRecordRetryMs * (2 ** tries));
+			const delay = Math.min(maxRecordRetryMs, initialRecordRetryMs * (2 ** attempts));
 			await waitQuietly(clock, addMilliseconds(clock.now(), delay * (0.5 + (random() / 2))), signal);
 			/* eslint-enable no-await-in-loop */
 		}
@@ -178,27 +182,27 @@
 	return {
 		async claim(claim, deadline, hop) {
 			const startedAt = clock.now();
-			const answer = await ask({
+			const answer = await claimThroughAnyRoute({
 				claim, isNew: true, deadline, hop,
 			});
 			metrics.claims.inc({verdict: answer.kind});
 			metrics.claimSeconds.observe((clock.now() - startedAt) / 1000);
 			return answer;
 		},
-		lookUp: async (claim, deadline, hop) => ask({
+		lookUp: async (claim, deadline, hop) => claimThroughAnyRoute({
 			claim, isNew: false, deadline, hop,
 		}),
 		async recordOutcome(claim, outcome) {
-			const running = record(claim, outcome);
-			recording.add(running);
+			const running = recordWithRetries(claim, outcome);
+			pendingOutcomes.add(running);
 			try {
 				return await running;
 			} finally {
-				recording.delete(running);
+				pendingOutcomes.delete(running);
 			}
 		},
 		async settle() {
-			await Promise.allSettled(recording);
+			await Promise.allSettled(pendingOutcomes);
 		},
 		async answerPeer(claim, isNew) {
 			const shard = getShard(pickClaimStream(makeKeyName(claim)));
--- a/packages/tasks/src/claim-shard.ts
+++ b/packages/tasks/src/claim-shard.ts
@@ -1,6 +1,6 @@
 /**
- * One claim stream as a writer sees it: gathers claims and outcomes into appends
- * and tells from the log alone what each has come to.
+ * Reads and writes one claim stream. Claims and outcomes are batched into appends,
+ * and the result of each claim is determined only from the records in the log.
  */
 import {keyMemoryMs} from '@shallotpass/common/constants.js';
 import {waitQuietly} from '@shallotpass/common/clock.js';
@@ -17,17 +17,17 @@
 import {type ClaimAnswer} from '@shallotpass/peers/peer-methods.js';
 import {type Environment} from './environment.js';
 
-type Waiting<Item> = {
+type Pending<Item> = {
 	readonly item: Item;
 	readonly resolve: (isInLog: boolean) => void;
 };
 
 export type ClaimShard = {
-	/** Claims the key and tells what came of it. */
+	/** Claims the key and returns the result. */
 	readonly claim: (claim: Claim) => Promise<ClaimAnswer>;
-	/** Reads the log to its end and tells where the key stands, without claiming. */
+	/** Reads the log to its end and returns the state of the key, without claiming it. */
 	readonly lookUp: (claim: Claim) => Promise<ClaimAnswer>;
-	/** Resolves to whether the outcome is in the log. */
+	/** Resolves to true when the outcome is in the log or need not be recorded. */
 	readonly recordOutcome: (outcome: Outcome) => Promise<boolean>;
 	readonly countKeys: () => number;
 };
@@ -39,52 +39,52 @@
 	readonly isOwnerGone: (owner: string, ownerEpoch: string) => boolean;
 };
 
-const readLimit = 1000;
+const readBatchSize = 1000;
 
-/** Most claims in one append; a record stays well under a megabyte. */
-const mostClaimsInAppend = 500;
+/** Maximum number of claims, and of outcomes, in one append. It keeps a record well below one megabyte. */
+const maxItemsPerAppend = 500;
 
 /**
- * Keys are forgotten by the time that has run since they were read, not by the time
- * of day: a clock that is set ahead would forget keys that were just used, and the
- * next sending of such a call would run it again. A reader that starts late keeps
- * them longer than promised, which costs memory only.
+ * Applies a record with the monotonic time at which it was read, which decides when its keys expire.
+ * With wall-clock time, a clock set forward would expire keys that were just used, and resending
+ * such a call would run it again. A daemon that reads a record late keeps its keys longer than
+ * promised, which only costs memory.
  */
-const foldNow = (state: ClaimState, record: Pick<LogRecord, 'offset' | 'record'>): ClaimState =>
+const foldWithReadTime = (state: ClaimState, record: Pick<LogRecord, 'offset' | 'record'>): ClaimState =>
 	foldClaimRecord(state, {...record, appendedAt: performance.now()});
 
-const unavailable = (detail: string): ClaimAnswer => ({kind: 'unavailable', detail});
+const makeUnavailable = (detail: string): ClaimAnswer => ({kind: 'unavailable', detail});
 
 export const makeClaimShard = ({environment, log, stream, isOwnerGone}: ClaimShardOptions): ClaimShard => {
 	const {clock, settings, signal, metrics} = environment;
 	const logger = environment.makeLogger('claims');
 	let state: ClaimState = makeClaimState();
-	const claims: Array<Waiting<Claim>> = [];
-	const outcomes: Array<Waiting<Outcome>> = [];
+	const pendingClaims: Array<Pending<Claim>> = [];
+	const pendingOutcomes: Array<Pending<Outcome>> = [];
 	let isFlushing = false;
-	let reading: Promise<void> = Promise.resolve();
-	/** The log's time as its newest record told it, and when that was read by a clock that nobody sets. */
-	let logTime = {at: clock.now(), seenAt: performance.now(), isTold: false};
+	let lastReading: Promise<void> = Promise.resolve();
+	/** Latest known log time, with the monotonic time at which it was noted. Starts from the local clock until a record has been read. */
+	let logTime = {at: clock.now(), readAt: performance.now(), isFromLog: false};
 
 	/**
-	 * The log's time now, late rather than early. How long keys are unsafe after a trim goes by
-	 * it: by this instance's time of day, a clock set ahead would end that time at once.
+	 * Estimates the current time of the log; the estimate may lag but does not run ahead. It decides how long
+	 * keys are unsafe after a trim. With the wall clock, a clock set forward would end that period immediately.
 	 */
-	const getLogTime = (): number => logTime.at + (performance.now() - logTime.seenAt);
+	const getLogTime = (): number => logTime.at + (performance.now() - logTime.readAt);
 
-	const noteLogTime = (appendedAt: number): void => {
-		if (!logTime.isTold || appendedAt > getLogTime()) {
-			logTime = {at: appendedAt, seenAt: performance.now(), isTold: true};
+	const updateLogTime = (appendedAt: number): void => {
+		if (!logTime.isFromLog || appendedAt > getLogTime()) {
+			logTime = {at: appendedAt, readAt: performance.now(), isFromLog: true};
 		}
 	};
 
-	const noteTrim = async (earliest: LogOffset): Promise<void> => {
+	const handleTrim = async (earliest: LogOffset): Promise<void> => {
 		const first = await log.read({
 			stream, from: earliest, limit: 1, signal,
 		});
 		const oldest = first.kind === 'records' ? first.records[0] : undefined;
 		if (oldest !== undefined) {
-			noteLogTime(oldest.appendedAt);
+			updateLogTime(oldest.appendedAt);
 		}
 
 		const oldestLeftAt = oldest?.appendedAt ?? getLogTime();
@@ -94,19 +94,19 @@
 
 	const readToEnd = async (): Promise<void> => {
 		for (;;) {
-			/* eslint-disable no-await-in-loop -- each reading starts where the last ended */
+			/* eslint-disable no-await-in-loop -- each read starts where the previous one ended */
 			const result = await log.read({
-				stream, from: state.foldedTo, limit: readLimit, signal,
+				stream, from: state.foldedTo, limit: readBatchSize, signal,
 			});
 			if (result.kind === 'trimmed') {
-				await noteTrim(result.earliest);
+				await handleTrim(result.earliest);
 				continue;
 			}
 
 			/* eslint-enable no-await-in-loop */
 			for (const record of result.records) {
-				noteLogTime(record.appendedAt);
-				state = foldNow(state, record);
+				updateLogTime(record.appendedAt);
+				state = foldWithReadTime(state, record);
 			}
 
 			if (result.records.length === 0) {
@@ -116,24 +116,24 @@
 		}
 	};
 
-	const readAfter = async (before: Promise<void>): Promise<void> => {
+	const readAfter = async (previous: Promise<void>): Promise<void> => {
 		try {
-			await before;
+			await previous;
 		} catch {
-			// Whoever started that reading sees its failure.
+			// The caller that started the previous read handles its failure.
 		}
 
 		await readToEnd();
 	};
 
-	/** One reading at a time; a caller that comes later needs one that starts later. */
+	/** Runs reads one at a time. Each caller gets a read that starts after its call, so it sees all earlier appends. */
 	const catchUp = async (): Promise<void> => {
-		const own = readAfter(reading);
-		reading = own;
-		await own;
+		const nextReading = readAfter(lastReading);
+		lastReading = nextReading;
+		await nextReading;
 	};
 
-	const judge = (claim: Claim): ClaimVerdict => judgeClaim({
+	const evaluateClaim = (claim: Claim): ClaimVerdict => judgeClaim({
 		state, claim, now: clock.now(), logTime: getLogTime(), isOwnerGone,
 	});
 
@@ -159,7 +159,7 @@
 			}
 
 			case 'absent': {
-				return unavailable('the claim is not in the log');
+				return makeUnavailable('the claim is not in the log');
 			}
 
 			case 'won':
@@ -173,11 +173,11 @@
 	};
 
 	/**
-	 * Whether nothing is left to record. The outcome of a claim that did not win its key
-	 * tells nothing; taken for missing, it was recorded again for ten minutes, and a
-	 * daemon that was told to stop waited for that.
+	 * Whether the outcome needs no further recording. An outcome of a claim that did not win its key has no effect
+	 * and counts as settled. When it was treated as missing, it was recorded again for ten minutes, which delayed
+	 * the shutdown of the daemon.
 	 */
-	const isKnown = (outcome: Outcome): boolean => {
+	const isOutcomeSettled = (outcome: Outcome): boolean => {
 		const known = state.keys.get(outcome.key);
 		if (known?.claim.id === outcome.claimId) {
 			return known.outcome !== undefined;
@@ -187,21 +187,21 @@
 	};
 
 	const isClaimInLog = (claim: Claim): boolean => {
-		const verdict = judge(claim);
+		const verdict = evaluateClaim(claim);
 		return verdict.kind !== 'absent' && verdict.kind !== 'unsafe';
 	};
 
 	/**
-	 * Appends and brings the fold past the append. When the record lies right behind
-	 * what was read, nobody else has written and there is nothing to read. A failed
-	 * append may have taken effect; only reading tells.
+	 * Appends a record and brings the local state up to date with it. If the record directly follows the
+	 * last applied offset, no other writer has appended and the read is skipped. A failed append may still
+	 * have been stored, so the log is read to find out.
 	 */
 	const appendAndRead = async (record: unknown): Promise<boolean> => {
 		try {
 			const offset = await log.append({stream, record, signal});
 			metrics.logAppends.inc({stream, result: 'done'});
 			if (offset === state.foldedTo) {
-				state = foldNow(state, {offset, record});
+				state = foldWithReadTime(state, {offset, record});
 			}
 
 			if (offset < state.foldedTo) {
@@ -222,10 +222,10 @@
 		}
 	};
 
-	/** Appends what has gathered and tells each who waits what came of it. */
+	/** Appends one batch of pending items and resolves their promises. */
 	const flushOnce = async (): Promise<void> => {
-		const claimBatch = claims.splice(0, mostClaimsInAppend);
-		const outcomeBatch = outcomes.splice(0, mostClaimsInAppend);
+		const claimBatch = pendingClaims.splice(0, maxItemsPerAppend);
+		const outcomeBatch = pendingOutcomes.splice(0, maxItemsPerAppend);
 		const record = {
 			kind: 'claims',
 			outcomes: outcomeBatch.map(({item}) => item),
@@ -233,7 +233,7 @@
 		};
 		const isRead = await appendAndRead(record);
 		for (const {item, resolve} of outcomeBatch) {
-			resolve(isRead && isKnown(item));
+			resolve(isRead && isOutcomeSettled(item));
 		}
 
 		for (const {item, resolve} of claimBatch) {
@@ -247,8 +247,8 @@
 		}
 
 		isFlushing = true;
-		while (claims.length + outcomes.length > 0) {
-			/* eslint-disable no-await-in-loop -- one append at a time; what comes meanwhile shares the next */
+		while (pendingClaims.length + pendingOutcomes.length > 0) {
+			/* eslint-disable no-await-in-loop -- one append at a time; items that arrive meanwhile go into the next batch */
 			await waitQuietly(clock, addMilliseconds(clock.now(), settings.limits.claimWindowMs), signal);
 			await flushOnce();
 			/* eslint-enable no-await-in-loop */
@@ -258,7 +258,7 @@
 	};
 
 	const enqueueClaim = async (claim: Claim): Promise<boolean> => new Promise(resolve => {
-		claims.push({item: claim, resolve});
+		pendingClaims.push({item: claim, resolve});
 		void flush();
 	});
 
@@ -267,34 +267,34 @@
 	return {
 		async claim(claim) {
 			try {
-				// The log's beginning must have been read before the first claim: a key may stand there.
+				// The log must have been read from its start before the first claim, because the key may already be in it.
 				if (state.foldedTo === 0) {
 					await catchUp();
 				}
 
-				const before = judge(claim);
-				const isSettled = before.kind === 'answered' || before.kind === 'answered_not_kept' || before.kind === 'reused';
-				if (isSettled || (before.kind === 'unsafe' && isUnsafe())) {
-					return await toAnswer(before, claim);
+				const initialVerdict = evaluateClaim(claim);
+				const isSettled = initialVerdict.kind === 'answered' || initialVerdict.kind === 'answered_not_kept' || initialVerdict.kind === 'reused';
+				if (isSettled || (initialVerdict.kind === 'unsafe' && isUnsafe())) {
+					return await toAnswer(initialVerdict, claim);
 				}
 
 				const isInLog = await enqueueClaim(claim);
-				return isInLog ? await toAnswer(judge(claim), claim) : unavailable('the log does not answer');
+				return isInLog ? await toAnswer(evaluateClaim(claim), claim) : makeUnavailable('the log does not respond');
 			} catch (error) {
-				return unavailable(error instanceof Error ? error.message : 'the log does not answer');
+				return makeUnavailable(error instanceof Error ? error.message : 'the log does not respond');
 			}
 		},
 		async lookUp(claim) {
 			try {
 				await catchUp();
-				return await toAnswer(judge(claim), claim);
+				return await toAnswer(evaluateClaim(claim), claim);
 			} catch (error) {
-				return unavailable(error instanceof Error ? error.message : 'the log does not answer');
+				return makeUnavailable(error instanceof Error ? error.message : 'the log does not respond');
 			}
 		},
 		async recordOutcome(outcome) {
 			return new Promise(resolve => {
-				outcomes.push({item: outcome, resolve});
+				pendingOutcomes.push({item: outcome, resolve});
 				void flush();
 			});
 		},
--- a/packages/tasks/src/configuration-task.ts
+++ b/packages/tasks/src/configuration-task.ts
@@ -1,4 +1,4 @@
-/** Owns the fold of the configuration stream and what is in force. */
+/** Replays the configuration stream of the log and keeps the active configurations of all teams. */
 import {configurationStream, restatementAgeMs} from '@shallotpass/common/constants.js';
 import {waitQuietly} from '@shallotpass/common/clock.js';
 import {type LogService} from '@shallotpass/common/log-service.js';
@@ -36,8 +36,8 @@
 	| {readonly kind: 'outage'; readonly error: unknown};
 
 type TaskState = {
-	readonly fold: ConfigurationState;
-	/** Whether the end of the log was reached once. */
+	readonly configuration: ConfigurationState;
+	/** Whether the task has read to the end of the log at least once. */
 	readonly hasReadLog: boolean;
 };
 
@@ -46,57 +46,62 @@
 	readonly getState: () => ConfigurationState;
 	readonly hasReadLog: () => boolean;
 	readonly isLogReachable: () => boolean;
+	/** Compares the versions of a peer with this daemon's and fetches newer ones from it. */
 	readonly takeVersions: (address: string, versions: Readonly<Record<string, number>>) => void;
-	readonly takeOffer: (offer: ConfigurationOffer) => void;
+	/** Applies the configurations that a peer has accepted. */
+	readonly receiveOffer: (offer: ConfigurationOffer) => void;
+	/** Returns the configurations that this daemon has accepted, for a peer. */
 	readonly makeOffer: () => ConfigurationOffer;
+	/** Returns the accepted version of each team. */
 	readonly makeVersionDigest: () => Record<string, number>;
-	/** Reads what the log has beyond the fold, beside the poll that may hang on a silent connection. */
+	/** Reads new log records at once, independently of the poll, which can hang on an unresponsive connection. */
 	readonly catchUp: () => Promise<void>;
-	/** Runs the function each time that something else comes into force. */
-	readonly onInForce: (listener: (inForce: InForce) => void) => void;
+	/** Registers a listener that is called whenever a new version becomes active. */
+	readonly onInForce: (listener: (activeConfigurations: InForce) => void) => void;
 };
 
 type ConfigurationTaskOptions = {
 	readonly environment: Environment;
 	readonly log: LogService;
-	/** Asks the peer at the address for what it has accepted. */
+	/** Requests the configurations that the peer at the address has accepted. */
 	readonly fetchOffer: (address: string) => Promise<ConfigurationOffer>;
-	/** Addresses of some peers, for a reader that cannot judge alone. */
+	/** Lists the addresses of a few peers to ask for their accepted configurations. */
 	readonly listPeerAddresses: () => readonly string[];
-	/** Place of this daemon among the members, from 0. */
+	/** Returns the zero-based position of this daemon in the list of members. */
 	readonly getPlace: () => number;
-	/** Whether this daemon follows the log for its availability zone; the others hear of changes from it. */
+	/** Whether this daemon follows the log on behalf of its availability zone. The zone's other daemons learn of changes from it. */
 	readonly isZoneReader: () => boolean;
-	/** Tells some peers at once that a newer version is accepted. */
+	/** Announces a newly accepted version to some peers immediately. */
 	readonly spread: () => void;
 };
 
-/** Daemons that do not follow the log look at it this often all the same, in case all who do are wrong. */
-const otherReadersMs = 5000;
+/** How often daemons that are not zone readers poll the log, in case every zone reader fails or is misled. */
+const backupPollIntervalMs = 5000;
 
-const restateEveryMs = 10_000;
+/** How often the task checks for accepted configurations that must be appended again before the log trims them. */
+const restateIntervalMs = 10_000;
 
-/** How long a reader with a gap waits for a peer before it settles alone. */
-const settleAfterMs = 2000;
+/** How long a reader that missed trimmed records waits for peers before it resolves the gap on its own. */
+const gapTimeoutMs = 2000;
 
-const listAccepted = (before: ConfigurationState, after: ConfigurationState): Effect[] =>
+const listNewlyAccepted = (before: ConfigurationState, after: ConfigurationState): Effect[] =>
 	[...after.accepted.values()]
 		.filter(accepted => before.accepted.get(accepted.team)?.version !== accepted.version)
 		.map(accepted => ({kind: 'accepted', accepted}));
 
-const withFold = (state: TaskState, fold: ConfigurationState): Step<TaskState, Effect> => ({
-	state: {...state, fold},
-	effects: listAccepted(state.fold, fold),
+const makeStep = (state: TaskState, configuration: ConfigurationState): Step<TaskState, Effect> => ({
+	state: {...state, configuration},
+	effects: listNewlyAccepted(state.configuration, configuration),
 });
 
 const foldLogEvent = (state: TaskState, event: LogEvent): Step<TaskState, Effect> => {
 	switch (event.kind) {
 		case 'record': {
-			return withFold(state, foldConfigurationRecord(state.fold, event.record));
+			return makeStep(state, foldConfigurationRecord(state.configuration, event.record));
 		}
 
 		case 'trimmed': {
-			return {state: {...state, fold: noteTrim(state.fold, event.earliest)}, effects: [{kind: 'ask_members'}]};
+			return {state: {...state, configuration: noteTrim(state.configuration, event.earliest)}, effects: [{kind: 'ask_members'}]};
 		}
 
 		case 'caught_up': {
@@ -116,24 +121,24 @@
 		}
 
 		case 'offer': {
-			return withFold(state, takeOffer(state.fold, message.offer, now()));
+			return makeStep(state, takeOffer(state.configuration, message.offer, now()));
 		}
 
 		case 'start': {
-			return withFold(state, startFromOffer(state.fold, message.offer, now()));
+			return makeStep(state, startFromOffer(state.configuration, message.offer, now()));
 		}
 
 		case 'versions': {
-			return {state, effects: hasNewerVersion(state.fold, message.versions) ? [{kind: 'fetch', address: message.address}] : []};
+			return {state, effects: hasNewerVersion(state.configuration, message.versions) ? [{kind: 'fetch', address: message.address}] : []};
 		}
 
 		case 'settle': {
-			return withFold(state, settleGap(state.fold));
+			return makeStep(state, settleGap(state.configuration));
 		}
 
 		case 'restate': {
 			const records = planRestatements({
-				state: state.fold, now: now(), ageMs: restatementAgeMs, place: message.place,
+				state: state.configuration, now: now(), ageMs: restatementAgeMs, place: message.place,
 			});
 			return {state, effects: records.map(record => ({kind: 'append', record}))};
 		}
@@ -144,51 +149,51 @@
 	const {environment, log} = options;
 	const {clock, signal, metrics} = environment;
 	const logger = environment.makeLogger('configuration');
-	const listeners: Array<(inForce: InForce) => void> = [];
-	let inForce = nothingInForce;
-	let isReachable = true;
-	const fetching = new Set<string>();
+	const listeners: Array<(activeConfigurations: InForce) => void> = [];
+	let activeConfigurations = nothingInForce;
+	let isLogReachable = true;
+	const pendingFetches = new Set<string>();
 
-	const putAccepted = (accepted: AcceptedConfiguration): void => {
-		const result = putInForce(inForce, accepted, clock.now());
+	const activateAccepted = (accepted: AcceptedConfiguration): void => {
+		const result = putInForce(activeConfigurations, accepted, clock.now());
 		if (result.kind === 'unreadable') {
 			metrics.configurationFailures.inc();
 			logger.error('configuration_unreadable', {team: accepted.team, version: accepted.version, mistakes: result.mistakes});
 			return;
 		}
 
-		inForce = result.inForce;
+		activeConfigurations = result.inForce;
 		metrics.configurationVersion.set({team: accepted.team}, accepted.version);
 		logger.info('configuration_in_force', {
 			team: accepted.team, version: accepted.version, id: accepted.id, by: accepted.by,
 		});
 		for (const listener of listeners) {
-			listener(inForce);
+			listener(activeConfigurations);
 		}
 
 		options.spread();
 	};
 
-	const fetchFrom = async (address: string): Promise<void> => {
-		if (fetching.has(address)) {
+	const fetchOfferFrom = async (address: string): Promise<void> => {
+		if (pendingFetches.has(address)) {
 			return;
 		}
 
-		fetching.add(address);
+		pendingFetches.add(address);
 		try {
 			const offer = await options.fetchOffer(address);
 			task.send({kind: 'offer', offer});
 		} catch (error) {
 			logger.debug('offer_not_fetched', {address, error});
 		} finally {
-			fetching.delete(address);
+			pendingFetches.delete(address);
 		}
 	};
 
 	const askMembers = async (): Promise<void> => {
 		logger.warn('log_trimmed_before_reading');
-		await Promise.all(options.listPeerAddresses().map(async address => fetchFrom(address)));
-		await waitQuietly(clock, addMilliseconds(clock.now(), settleAfterMs), signal);
+		await Promise.all(options.listPeerAddresses().map(async address => fetchOfferFrom(address)));
+		await waitQuietly(clock, addMilliseconds(clock.now(), gapTimeoutMs), signal);
 		task.send({kind: 'settle'});
 	};
 
@@ -205,12 +210,12 @@
 	const perform = (effect: Effect): void => {
 		switch (effect.kind) {
 			case 'accepted': {
-				putAccepted(effect.accepted);
+				activateAccepted(effect.accepted);
 				break;
 			}
 
 			case 'fetch': {
-				void fetchFrom(effect.address);
+				void fetchOfferFrom(effect.address);
 				break;
 			}
 
@@ -232,7 +237,7 @@
 	};
 
 	const task = startTask<TaskState, Message, Effect>({
-		initial: {fold: emptyConfigurationState, hasReadLog: false},
+		initial: {configuration: emptyConfigurationState, hasReadLog: false},
 		fold: foldMessage(clock.now),
 		perform,
 		onError(error) {
@@ -241,20 +246,23 @@
 		signal,
 	});
 
-	const restateRegularly = async (): Promise<void> => {
+	const runRestatements = async (): Promise<void> => {
 		while (!signal.aborted) {
-			await waitQuietly(clock, addMilliseconds(clock.now(), restateEveryMs), signal); // eslint-disable-line no-await-in-loop
+			await waitQuietly(clock, addMilliseconds(clock.now(), restateIntervalMs), signal); // eslint-disable-line no-await-in-loop
 			task.send({kind: 'restate', place: options.getPlace()});
 		}
 	};
 
-	void restateRegularly();
-	/** Hundreds of daemons are replaced each day; each would read the whole stream if no peer told it where to start. */
-	const askFirstOffer = async (): Promise<ConfigurationOffer | undefined> => {
+	void runRestatements();
+	/**
+	 * Asks peers for a starting point in the log. Hundreds of daemons are replaced each day,
+	 * and without it each of them would read the whole stream.
+	 */
+	const fetchFirstOffer = async (): Promise<ConfigurationOffer | undefined> => {
 		const offers = options.listPeerAddresses().map(async address => {
 			const offer = await options.fetchOffer(address);
 			if (!offer.isComplete || offer.accepted.length === 0) {
-				throw new Error('the peer knows nothing yet');
+				throw new Error('the peer has no complete configuration yet');
 			}
 
 			return offer;
@@ -273,15 +281,15 @@
 		clock,
 		random: environment.random,
 		signal,
-		getNextReading: () => addMilliseconds(clock.now(), options.isZoneReader() ? 0 : otherReadersMs * (0.5 + environment.random())),
+		getNextReading: () => addMilliseconds(clock.now(), options.isZoneReader() ? 0 : backupPollIntervalMs * (0.5 + environment.random())),
 		send(event) {
-			isReachable = event.kind !== 'outage';
+			isLogReachable = event.kind !== 'outage';
 			task.send({kind: 'log', event});
 		},
 	});
 
 	const follow = async (): Promise<void> => {
-		const offer = await askFirstOffer();
+		const offer = await fetchFirstOffer();
 		if (offer !== undefined) {
 			task.send({kind: 'start', offer});
 		}
@@ -292,21 +300,21 @@
 	void follow();
 
 	return {
-		getInForce: () => inForce,
-		getState: () => task.getState().fold,
+		getInForce: () => activeConfigurations,
+		getState: () => task.getState().configuration,
 		hasReadLog: () => task.getState().hasReadLog,
-		isLogReachable: () => isReachable,
+		isLogReachable: () => isLogReachable,
 		takeVersions(address, versions) {
 			task.send({kind: 'versions', address, versions});
 		},
-		takeOffer(offer) {
+		receiveOffer(offer) {
 			task.send({kind: 'offer', offer});
 		},
-		makeOffer: () => makeOffer(task.getState().fold),
-		makeVersionDigest: () => makeVersionDigest(task.getState().fold),
+		makeOffer: () => makeOffer(task.getState().configuration),
+		makeVersionDigest: () => makeVersionDigest(task.getState().configuration),
 		async catchUp() {
 			try {
-				const {foldedTo} = task.getState().fold;
+				const {foldedTo} = task.getState().configuration;
 				const reading = await log.read({
 					stream: configurationStream, from: foldedTo, limit: readLimit, signal,
 				});
--- a/packages/tasks/src/fleet-duty.ts
+++ b/packages/tasks/src/fleet-duty.ts
@@ -1,9 +1,9 @@
 /**
- * Fleet duty of one availability zone. Whoever has the zone's lease decides how many
- * instances run there, writes that to the log, and only what the log then shows to
- * count is carried out. So a holder that was paused past its lease, or two that both
- * think they have it, start and end nothing that the log did not order; and an order
- * whose reply was lost is sent again with its token, which starts one instance in all.
+ * Scales the fleet of one availability zone. The daemon that holds the zone's lease decides how many instances
+ * run there, writes the decisions to the log as orders, and carries out only the orders that the log shows as valid.
+ * A holder that was paused past its lease, or one of two daemons that both believe they hold it, therefore cannot
+ * start or end instances without a valid order. An order whose reply was lost is sent again with the same token,
+ * so it starts at most one instance.
  */
 import {randomUUID} from 'node:crypto';
 import {waitQuietly} from '@shallotpass/common/clock.js';
@@ -19,20 +19,22 @@
 } from '@shallotpass/core/fleet/types.js';
 import {type Environment} from './environment.js';
 
-/** What the holder sees of the work. */
+/** Current demand and capacity as observed by the lease holder. */
 export type FleetDemand = {
 	readonly offers: readonly Offer[];
+	/** Capacity, in concurrent calls, of backend servers that were not started by an order. */
 	readonly fixedPlaces: number;
+	/** Capacity, in concurrent calls, that the expected demand requires. */
 	readonly demandPlaces: number;
 };
 
 export type FleetTiming = {
 	readonly roundEveryMs: number;
 	readonly leaseMs: number;
-	/** An instance that was started and has not shown on the cloud's list for so long is gone. */
+	/** A started instance that has not appeared in the cloud's instance list within this time is considered gone. */
 	readonly shownWithinMs: number;
 	readonly firstRefusalWaitMs: number;
-	/** From the announcement of an end to the end. */
+	/** Time between announcing that an instance will end and ending it. */
 	readonly drainMs: number;
 };
 
@@ -42,24 +44,24 @@
 	readonly cloud: CloudService;
 	readonly plan: PlanFleet;
 	readonly availabilityZone: string;
-	/** The process, not the instance: a restarted one has no lease. */
+	/** Identifies the daemon process, so that a restarted daemon does not inherit the lease. */
 	readonly holder: string;
-	/** Is given what the cloud says runs, to tell it from backend servers of other origin. */
+	/** Measures demand and capacity. The running cloud instances are passed in to distinguish them from other backend servers. */
 	readonly observe: (instances: readonly CloudInstance[]) => FleetDemand;
 	readonly timing: FleetTiming;
-	/** Tells all daemons that nothing new may go to a backend server, and when it ends; what it runs is finished or moved by then. */
+	/** Notifies all daemons that a backend server takes no new calls and when it ends. Its calls finish or move before then. */
 	readonly announceEnd: (instanceId: string, leavesAt: Deadline) => void;
 };
 
 export type FleetDuty = {
-	/** One round: reads, takes or keeps the lease, decides, carries out. */
+	/** Runs one round: reads the log, takes or renews the lease, plans, and carries out the orders. */
 	readonly round: () => Promise<void>;
 	readonly getState: () => FleetState;
-	/** Whether this process has the duty, as far as it has read. */
+	/** Whether this process holds the lease, according to the records read so far. */
 	readonly isHolder: () => boolean;
 };
 
-const readLimit = 500;
+const readBatchSize = 500;
 
 export const defaultFleetTiming: FleetTiming = {
 	roundEveryMs: 2000, leaseMs: 15_000, shownWithinMs: 60_000, firstRefusalWaitMs: 10_000, drainMs: 30_000,
@@ -69,19 +71,19 @@
 	const {environment, log, cloud, plan, availabilityZone, holder, observe, timing, announceEnd} = options;
 	const {clock, signal, random} = environment;
 	const logger = environment.makeLogger('fleet');
-	/** When the cloud said that it started the instance of a token. */
-	const startedAt = new Map<string, number>();
-	/** Tokens whose instance was on the cloud's list. */
-	const shown = new Set<string>();
-	/** When instances that were announced to end do so. A holder that takes over announces them again. */
-	const endsAt = new Map<string, Deadline>();
+	/** When the cloud confirmed the start of an instance, by order token. */
+	const startTimes = new Map<string, number>();
+	/** Tokens of orders whose instance has appeared in the cloud's instance list. */
+	const listedTokens = new Set<string>();
+	/** When announced instances end, by instance id. A new lease holder announces them again. */
+	const endTimes = new Map<string, Deadline>();
 	let state = makeFleetState();
 
 	const readToEnd = async (): Promise<void> => {
 		for (;;) {
-			// eslint-disable-next-line no-await-in-loop -- each reading starts where the last ended
+			// eslint-disable-next-line no-await-in-loop -- each read starts where the previous one ended
 			const reading = await log.read({
-				stream: fleetStream, from: state.next, limit: readLimit, signal,
+				stream: fleetStream, from: state.next, limit: readBatchSize, signal,
 			});
 			if (reading.kind === 'trimmed') {
 				state = {...state, next: reading.earliest};
@@ -99,7 +101,7 @@
 		}
 	};
 
-	const write = async (record: FleetRecord): Promise<void> => {
+	const appendRecord = async (record: FleetRecord): Promise<void> => {
 		await log.append({stream: fleetStream, record, signal});
 		await readToEnd();
 	};
@@ -109,16 +111,16 @@
 		return lease?.holder === holder && clock.now() < lease.until ? lease : undefined;
 	};
 
-	const writeLease = async (fencing: LogOffset | undefined): Promise<void> => write({
+	const writeLease = async (fencing: LogOffset | undefined): Promise<void> => appendRecord({
 		kind: 'lease', id: randomUUID(), availabilityZone, holder, until: clock.now() + timing.leaseMs, fencing,
 	});
 
 	/**
-	 * The lease, when it was had before and is kept. Whoever has just taken it decides in the
-	 * next round: the other zones' holders may be taking theirs in this one, and a plan that
-	 * does not know of them puts everything into one zone.
+	 * Renews the lease, or takes it if it is free. Returns it only if this process held it before, so a new holder
+	 * starts planning in the next round. Holders in other zones may be taking their leases in the same round, and
+	 * a plan made without them would place all instances in one zone.
 	 */
-	const holdLease = async (): Promise<FleetLease | undefined> => {
+	const renewOrTakeLease = async (): Promise<FleetLease | undefined> => {
 		const lease = getOwnLease();
 		if (lease !== undefined) {
 			if (lease.until - clock.now() < timing.leaseMs / 2) {
@@ -138,19 +140,19 @@
 	const listOpenOrders = (running: ReadonlySet<string>): FleetOrder[] =>
 		[...state.orders.values()].filter(order => !order.isClosed && !running.has(order.token));
 
-	/** An instance that had started and is not there any more; its order is done with. */
-	const isGone = ({token}: FleetOrder): boolean => {
-		const since = startedAt.get(token);
-		return shown.has(token) || (since !== undefined && clock.now() - since > timing.shownWithinMs);
+	/** Whether the instance of an order that is not running was started before and is gone, so that the order can be closed. */
+	const isInstanceGone = ({token}: FleetOrder): boolean => {
+		const startTime = startTimes.get(token);
+		return listedTokens.has(token) || (startTime !== undefined && clock.now() - startTime > timing.shownWithinMs);
 	};
 
-	const writeOrders = async (lease: FleetLease, change: {readonly starts?: readonly Offer[]; readonly closed?: readonly string[]; readonly refusals?: readonly Refusal[]}): Promise<void> => {
-		const {starts = [], closed = [], refusals = []} = change;
+	const writeOrders = async (lease: FleetLease, changes: {readonly starts?: readonly Offer[]; readonly closed?: readonly string[]; readonly refusals?: readonly Refusal[]}): Promise<void> => {
+		const {starts = [], closed = [], refusals = []} = changes;
 		if (starts.length + closed.length + refusals.length === 0) {
 			return;
 		}
 
-		await write({
+		await appendRecord({
 			kind: 'orders',
 			id: randomUUID(),
 			availabilityZone,
@@ -165,22 +167,22 @@
 		try {
 			const reply = await cloud.start({...order, signal});
 			if (reply === 'started') {
-				startedAt.set(order.token, clock.now());
+				startTimes.set(order.token, clock.now());
 			}
 
 			environment.metrics.fleetStarts.inc({reply});
 			return reply;
 		} catch (error) {
-			// It may have started; the order stays open and is sent again with its token.
+			// The instance may have started. The order stays open and is sent again with the same token.
 			environment.metrics.fleetStarts.inc({reply: 'unknown'});
 			logger.debug('start_unknown', {token: order.token, error});
 			return 'unknown';
 		}
 	};
 
-	/** Sends the open orders of this zone; those that the cloud refuses, or whose instance came and went, are closed. */
-	const carryOutStarts = async (lease: FleetLease, running: ReadonlySet<string>): Promise<void> => {
-		const orders = listOpenOrders(running).filter(order => order.availabilityZone === availabilityZone && !isGone(order) && !startedAt.has(order.token));
+	/** Sends the zone's open orders to the cloud. Closes orders that the cloud refuses or whose instance has already ended. */
+	const startOrderedInstances = async (lease: FleetLease, running: ReadonlySet<string>): Promise<void> => {
+		const orders = listOpenOrders(running).filter(order => order.availabilityZone === availabilityZone && !isInstanceGone(order) && !startTimes.has(order.token));
 		const results = await Promise.all(orders.map(async order => ({order, reply: await tryStart(order)})));
 		const refused = results.filter(result => result.reply === 'refused').map(result => result.order);
 		const refusals = new Map(refused.map(order => [makeOfferKey(order), noteRefusal({
@@ -194,19 +196,19 @@
 		await writeOrders(lease, {closed: [...refused, ...ended].map(order => order.token), refusals: [...refusals.values()]});
 	};
 
-	/** Ends what runs for an order that is closed: not wanted any more, or started late by a holder that had lost its lease. */
-	const carryOutEnds = async (instances: readonly CloudInstance[]): Promise<void> => {
+	/** Ends instances whose order is closed because they are no longer needed or were started by a holder that had lost its lease. */
+	const endClosedInstances = async (instances: readonly CloudInstance[]): Promise<void> => {
 		const unwanted = instances.filter(instance => instance.availabilityZone === availabilityZone && state.orders.get(instance.token)?.isClosed === true);
 		await Promise.all(unwanted.map(async ({id}) => {
-			const known = endsAt.get(id);
-			if (known === undefined) {
+			const endTime = endTimes.get(id);
+			if (endTime === undefined) {
 				const at = addMilliseconds(clock.now(), timing.drainMs);
-				endsAt.set(id, at);
+				endTimes.set(id, at);
 				announceEnd(id, at);
 				return;
 			}
 
-			if (clock.now() < known) {
+			if (clock.now() < endTime) {
 				return;
 			}
 
@@ -218,14 +220,14 @@
 		}));
 	};
 
-	const decide = async (lease: FleetLease, instances: readonly CloudInstance[]): Promise<void> => {
+	const updateFleet = async (lease: FleetLease, instances: readonly CloudInstance[]): Promise<void> => {
 		const wanted = instances.filter(instance => state.orders.get(instance.token)?.isClosed === false);
 		const running = new Set(instances.map(instance => instance.token));
 		for (const token of running) {
-			shown.add(token);
+			listedTokens.add(token);
 		}
 
-		const gone = listOpenOrders(running).filter(order => order.availabilityZone === availabilityZone && isGone(order));
+		const gone = listOpenOrders(running).filter(order => order.availabilityZone === availabilityZone && isInstanceGone(order));
 		await writeOrders(lease, {closed: gone.map(order => order.token)});
 		const now = clock.now();
 		const demand = observe(instances);
@@ -234,44 +236,47 @@
 		const {starts, ends} = plan({
 			...demand,
 			now,
-			// A zone without a holder starts nothing, however cheap it is.
+			// A zone without a lease holder cannot start instances, so its offers are left out regardless of price.
 			offers: demand.offers.filter(offer => !isLeaseFree(state, offer.availabilityZone, now)),
 			instances: wanted,
-			// One whose instance came and went is no capacity, though a holder that is away has not closed it.
-			openOrders: listOpenOrders(running).filter(order => !isGone(order)),
+			// An order whose instance is gone adds no capacity, even if an absent holder has not closed it yet.
+			openOrders: listOpenOrders(running).filter(order => !isInstanceGone(order)),
 			refusals: [...state.refusals.values()],
 		});
 		await writeOrders(lease, {
 			starts: starts.filter(offer => offer.availabilityZone === availabilityZone),
 			closed: ends.filter(instance => instance.availabilityZone === availabilityZone).map(instance => instance.token),
 		});
-		await carryOutStarts(lease, running);
-		await carryOutEnds(instances);
+		await startOrderedInstances(lease, running);
+		await endClosedInstances(instances);
 	};
 
 	return {
 		async round() {
 			await readToEnd();
-			const lease = await holdLease();
+			const lease = await renewOrTakeLease();
 			environment.metrics.fleetHolder.set(lease === undefined ? 0 : 1);
 			if (lease === undefined) {
 				return;
 			}
 
-			await decide(lease, await cloud.list(signal));
+			await updateFleet(lease, await cloud.list(signal));
 		},
 		getState: () => state,
 		isHolder: () => getOwnLease() !== undefined,
 	};
 };
 
-/** Does the duty until the daemon stops, while it is one of the zone's few candidates. While the log or the cloud is away, what runs is kept. */
+/**
+ * Runs rounds until the daemon stops, as long as it is one of the zone's candidates for the lease.
+ * While the log or the cloud API is unreachable, running instances are kept.
+ */
 export const runFleetDuty = async (options: FleetDutyOptions, isCandidate: () => boolean): Promise<void> => {
 	const {clock, signal, random, makeLogger} = options.environment;
 	const logger = makeLogger('fleet');
 	const duty = makeFleetDuty(options);
 	while (!signal.aborted) {
-		/* eslint-disable no-await-in-loop -- one round after the other */
+		/* eslint-disable no-await-in-loop -- rounds run one at a time */
 		try {
 			if (isCandidate()) {
 				await duty.round();
--- a/packages/tasks/src/load-reports.ts
+++ b/packages/tasks/src/load-reports.ts
@@ -1,4 +1,4 @@
-/** Reads load reports and cache events of the model engines that this daemon is a reporter of. */
+/** Polls load reports and cache events of the model engines that are assigned to this daemon. */
 import {waitQuietly} from '@shallotpass/common/clock.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {readCacheEvents} from '@shallotpass/backends/engine-events.js';
@@ -14,19 +14,22 @@
 	readonly dispatcher: Dispatcher;
 	/** Whether the backend server runs a model service. */
 	readonly isEngine: (serviceIds: readonly string[]) => boolean;
-	/** Members of this availability zone, this one included. */
+	/** Lists the members of this availability zone, including this daemon. */
 	readonly listZoneMembers: () => readonly string[];
 };
 
-const readEveryMs = 1000;
+const readIntervalMs = 1000;
 
-/** Above so many engines each is read half as often, or the reports alone fill the daemon's budget of control. */
-const fewEngines = 8;
+/**
+ * With more engines than this, each is polled half as often. At the full rate the load reports
+ * alone would use up the daemon's budget for control traffic.
+ */
+const maxEnginesAtFullRate = 8;
 
-/** Up to so many engines a daemon reads them all; above, it reads those it is one of the reporters of. */
-const mostReadByAll = 16;
+/** Up to this many engines, every daemon polls all of them. With more, each daemon polls only the engines assigned to it. */
+const maxEnginesReadByAll = 16;
 
-/** Reporters of one engine, so that one that dies leaves no gap. */
+/** Number of daemons that poll the same engine, so that reports continue when one of them fails. */
 const reportersPerEngine = 2;
 
 export const runLoadReports = async (options: LoadReportOptions): Promise<void> => {
@@ -35,12 +38,15 @@
 
 	const listEngines = () => registry.list().filter(view => options.isEngine(view.services));
 
-	/** Cache events tell of every prompt: beyond a few engines they would be more than all other control. */
-	const readsAll = (): boolean => listEngines().length <= mostReadByAll;
+	/**
+	 * Whether this daemon polls all engines. Only then are cache events read: they cover every prompt,
+	 * and with many engines they would exceed all other control traffic.
+	 */
+	const readsEveryEngine = (): boolean => listEngines().length <= maxEnginesReadByAll;
 
-	const listOwn = (): string[] => {
+	const listAssignedEngines = (): string[] => {
 		const engines = listEngines();
-		if (readsAll()) {
+		if (readsEveryEngine()) {
 			return engines.map(view => view.id);
 		}
 
@@ -51,7 +57,7 @@
 			.map(view => view.id);
 	};
 
-	const readOne = async (id: string): Promise<void> => {
+	const readLoadReport = async (id: string): Promise<void> => {
 		const view = registry.getView(id);
 		if (view === undefined) {
 			return;
@@ -60,50 +66,50 @@
 		try {
 			registry.takeReport(id, await readLoad(view.address, dispatcher, signal));
 		} catch {
-			// An engine without a report is judged by this daemon's own calls.
+			// Without a load report, routing relies on the calls that this daemon sent to the engine.
 		}
 	};
 
-	/** Where to go on reading the cache events of the engine at each address. */
-	const nextEvents = new Map<string, number>();
+	/** Sequence number of the next cache event to read, by engine address. */
+	const nextEventByAddress = new Map<string, number>();
 
-	const readEvents = async (id: string): Promise<void> => {
+	const readEngineCacheEvents = async (id: string): Promise<void> => {
 		const view = registry.getView(id);
 		if (view === undefined) {
 			return;
 		}
 
-		const from = nextEvents.get(view.address) ?? 0;
+		const from = nextEventByAddress.get(view.address) ?? 0;
 		try {
 			const {events, next} = await readCacheEvents(view.address, from, dispatcher, signal);
-			nextEvents.set(view.address, next);
-			// An engine that counts from the start again has restarted, with nothing cached.
+			nextEventByAddress.set(view.address, next);
+			// A lower sequence number means that the engine has restarted with an empty cache.
 			if (next < from) {
 				registry.forgetCache(id);
-				nextEvents.delete(view.address);
+				nextEventByAddress.delete(view.address);
 			}
 
 			registry.takeCacheEvents(id, events);
 		} catch {
-			// Without events, an engine's cache is judged by this daemon's own calls.
+			// Without cache events, the cache contents are estimated from the calls that this daemon sent to the engine.
 		}
 	};
 
-	const forgetGone = (): void => {
+	const forgetRemovedEngines = (): void => {
 		const addresses = new Set(listEngines().map(view => view.address));
-		for (const address of nextEvents.keys()) {
+		for (const address of nextEventByAddress.keys()) {
 			if (!addresses.has(address)) {
-				nextEvents.delete(address);
+				nextEventByAddress.delete(address);
 			}
 		}
 	};
 
 	while (!signal.aborted) {
-		forgetGone();
-		const own = listOwn();
-		const pauseMs = own.length > fewEngines ? readEveryMs * 2 : readEveryMs;
-		await Promise.all(own.map(async id => readOne(id))); // eslint-disable-line no-await-in-loop
-		await Promise.all(readsAll() ? own.map(async id => readEvents(id)) : []); // eslint-disable-line no-await-in-loop
+		forgetRemovedEngines();
+		const assigned = listAssignedEngines();
+		const pauseMs = assigned.length > maxEnginesAtFullRate ? readIntervalMs * 2 : readIntervalMs;
+		await Promise.all(assigned.map(async id => readLoadReport(id))); // eslint-disable-line no-await-in-loop
+		await Promise.all(readsEveryEngine() ? assigned.map(async id => readEngineCacheEvents(id)) : []); // eslint-disable-line no-await-in-loop
 		await waitQuietly(clock, addMilliseconds(clock.now(), pauseMs), signal); // eslint-disable-line no-await-in-loop
 	}
 };
--- a/packages/tasks/src/membership-task.ts
+++ b/packages/tasks/src/membership-task.ts
@@ -1,4 +1,4 @@
-/** Owns the members of the region: probes them, takes and passes on news. */
+/** Maintains the region's member list: probes members, detects failures and spreads updates by gossip. */
 import {waitQuietly} from '@shallotpass/common/clock.js';
 import {startTask, type Step} from '@shallotpass/common/task.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
@@ -39,44 +39,48 @@
 export type MembershipTask = {
 	readonly getState: () => MembershipState;
 	readonly getSelf: () => MemberUpdate;
-	/** Ids of this daemon and of the members that can be asked, sorted. */
+	/** Lists the ids of this daemon and of all reachable members, sorted. */
 	readonly listReachable: () => string[];
-	/** Ids of those that may be given duties, sorted. */
+	/** Lists the ids of the members that may be given duties, sorted. */
 	readonly listSteady: () => string[];
 	readonly findAddress: (id: string) => string | undefined;
 	readonly listPeers: () => Member[];
+	/** Whether the daemon process with this start time is known to have ended. */
 	readonly isProcessGone: (id: string, epoch: number) => boolean;
+	/** Handles a probe from a peer and returns this daemon's updates. */
 	readonly answerProbe: (parameters: PeerParameters<'probe'>, from: string) => PeerResult<'probe'>;
+	/** Probes a member on behalf of a peer that cannot reach it. */
 	readonly answerProbeFor: (id: string) => Promise<PeerResult<'probeFor'>>;
-	/** Addresses from the instance list, to be probed like seeds. */
+	/** Adds addresses from the instance list, which are probed like the seeds. */
 	readonly noteAddresses: (addresses: readonly string[]) => void;
 	readonly announceLeaving: () => void;
-	/** Starts the probes; not before this daemon listens itself. */
+	/** Starts probing. Call it only when this daemon listens at the address. */
 	readonly start: (address: string) => void;
 };
 
 type MembershipTaskOptions = {
 	readonly environment: Environment;
 	readonly client: PeerClient;
+	/** Start time of this daemon's process. */
 	readonly epoch: number;
 	readonly makeVersionDigest: () => Record<string, number>;
 	readonly takeVersions: (address: string, versions: Readonly<Record<string, number>>) => void;
 };
 
-const helperCount = 3;
+const indirectProbeCount = 3;
 
-/** Every so many periods an address without a known member is tried, so that groups cut apart find each other again. */
-const strangerTurn = 5;
+/** An address without a known member is probed once in this many periods, so that groups separated by a network partition rejoin. */
+const periodsPerUnknownProbe = 5;
 
-/** Most members told to one that is new. */
-const mostIntroduced = 512;
+/** Maximum number of members sent to a new member. */
+const maxIntroducedMembers = 512;
 
-/** After so many probes in a row with another view the whole list is asked for, at most once in so many periods. */
-const differingProbes = 3;
-const introductionTurn = 10;
+/** The full member list is requested after this many consecutive probes with a different view, and at most once in `minPeriodsBetweenSyncs` periods on average. */
+const differingProbesBeforeSync = 3;
+const minPeriodsBetweenSyncs = 10;
 
-/** A probe gets this part of the period; the rest is for helpers. */
-const probeShare = 0.5;
+/** Share of the probe period spent on the direct probe; the rest is left for indirect probes. */
+const directProbeShare = 0.5;
 
 export const startMembershipTask = (options: MembershipTaskOptions): MembershipTask => {
 	const {environment, client} = options;
@@ -84,9 +88,9 @@
 	const logger = environment.makeLogger('membership');
 	const membershipOptions: MembershipOptions = {...defaultMembershipOptions, suspectForMs: settings.peers.suspectForMs};
 	const {probeEveryMs} = settings.peers;
-	const strangers = new Set(settings.peers.seeds);
-	let differing = 0;
-	let nextIntroductionAt = 0;
+	const candidateAddresses = new Set(settings.peers.seeds);
+	let consecutiveDifferences = 0;
+	let nextSyncAt = 0;
 
 	const fold = (state: MembershipState, message: Message): Step<MembershipState, never> => {
 		switch (message.kind) {
@@ -123,52 +127,53 @@
 			status: 'alive',
 		}),
 		fold,
-		perform() {/* folding is all */},
+		perform() {/* the task has no effects */},
 		onError(error) {
 			logger.error('task_failed', {error});
 		},
 		signal,
 	});
 
-	/** News for one message: this daemon itself, what is thought of the receiver, and rumors. */
-	const takeUpdates = (receiver?: Member): MemberUpdate[] => {
+	/** Collects the updates for one message: this daemon's own state, the receiver's state if it is suspected, and pending gossip. */
+	const collectUpdates = (receiver?: Member): MemberUpdate[] => {
 		const choice = takeRumors(task.getState(), membershipOptions);
 		task.send({kind: 'replace', change: state => takeRumors(state, membershipOptions).state});
 		const {self} = task.getState();
-		const isDoubted = receiver?.status === 'suspect' || receiver?.status === 'dead';
-		return [self, ...(isDoubted ? [receiver] : []), ...choice.updates.filter(update => update.id !== self.id)];
+		const isReceiverSuspected = receiver?.status === 'suspect' || receiver?.status === 'dead';
+		return [self, ...(isReceiverSuspected ? [receiver] : []), ...choice.updates.filter(update => update.id !== self.id)];
 	};
 
 	/**
-	 * News that was passed on while few members were known dies out before it has
-	 * reached all, as when many daemons start at once. A view that keeps differing from
-	 * those of others shows it, and the whole list is asked for.
+	 * Counts consecutive probes whose member view differs from this daemon's. An update that is spread while few
+	 * members are known, such as when many daemons start at once, may not reach everyone. A persistent
+	 * difference reveals this, and the full member list is requested.
 	 */
-	const compareView = (view: number): void => {
-		differing = view === digestView(task.getState()) ? 0 : differing + 1;
+	const trackViewDifference = (view: number): void => {
+		consecutiveDifferences = view === digestView(task.getState()) ? 0 : consecutiveDifferences + 1;
 	};
 
-	const wantsIntroduction = (): boolean => {
+	/** Whether the next probe requests the full member list. If so, further requests are blocked for some periods. */
+	const requestIntroductionIfDue = (): boolean => {
 		const now = clock.now();
-		if (differing < differingProbes || now < nextIntroductionAt) {
+		if (consecutiveDifferences < differingProbesBeforeSync || now < nextSyncAt) {
 			return false;
 		}
 
-		nextIntroductionAt = now + (probeEveryMs * introductionTurn * (0.5 + random()));
+		nextSyncAt = now + (probeEveryMs * minPeriodsBetweenSyncs * (0.5 + random()));
 		return true;
 	};
 
-	const probe = async (address: string, receiver: Member | undefined, milliseconds: number): Promise<boolean> => {
+	const probe = async (address: string, receiver: Member | undefined, timeoutMs: number): Promise<boolean> => {
 		try {
 			const reply = await client.ask(
 				address,
 				'probe',
-				{updates: takeUpdates(receiver), versions: options.makeVersionDigest(), wantsIntroduction: wantsIntroduction()},
-				addMilliseconds(clock.now(), milliseconds),
+				{updates: collectUpdates(receiver), versions: options.makeVersionDigest(), wantsIntroduction: requestIntroductionIfDue()},
+				addMilliseconds(clock.now(), timeoutMs),
 			);
 			task.send({kind: 'replace', change: state => takeIntroduction(state, reply.introduction, clock.now(), membershipOptions)});
 			task.send({kind: 'updates', updates: reply.updates});
-			compareView(reply.view);
+			trackViewDifference(reply.view);
 			options.takeVersions(address, reply.versions);
 			return true;
 		} catch (error) {
@@ -177,8 +182,8 @@
 		}
 	};
 
-	const probeThroughHelpers = async (target: Member): Promise<boolean> => {
-		const helpers = chooseHelpers(task.getState(), target.id, helperCount, random);
+	const probeIndirectly = async (target: Member): Promise<boolean> => {
+		const helpers = chooseHelpers(task.getState(), target.id, indirectProbeCount, random);
 		const answers = await Promise.all(helpers.map(async helper => {
 			try {
 				const {isAlive} = await client.ask(helper.address, 'probeFor', {id: target.id}, addMilliseconds(clock.now(), probeEveryMs));
@@ -191,26 +196,26 @@
 	};
 
 	const probeMember = async (target: Member): Promise<void> => {
-		if (await probe(target.address, target, probeEveryMs * probeShare)) {
+		if (await probe(target.address, target, probeEveryMs * directProbeShare)) {
 			return;
 		}
 
-		if (target.status !== 'dead' && !await probeThroughHelpers(target)) {
+		if (target.status !== 'dead' && !await probeIndirectly(target)) {
 			logger.info('member_suspected', {member: target.id});
 			task.send({kind: 'no_answer', id: target.id});
 		}
 	};
 
-	const probeStranger = async (): Promise<void> => {
-		const known = new Set([...task.getState().members.values()].map(member => member.address));
-		const unknown = [...strangers].filter(address => !known.has(address) && address !== task.getState().self.address);
-		const address = unknown[Math.floor(random() * unknown.length)];
+	const probeUnknownAddress = async (): Promise<void> => {
+		const knownAddresses = new Set([...task.getState().members.values()].map(member => member.address));
+		const unknownAddresses = [...candidateAddresses].filter(address => !knownAddresses.has(address) && address !== task.getState().self.address);
+		const address = unknownAddresses[Math.floor(random() * unknownAddresses.length)];
 		if (address !== undefined) {
 			await probe(address, undefined, probeEveryMs);
 		}
 	};
 
-	const report = (): void => {
+	const updateMetrics = (): void => {
 		const {members} = task.getState();
 		for (const status of memberStatuses) {
 			metrics.members.set({status}, [...members.values()].filter(member => member.status === status).length);
@@ -220,7 +225,7 @@
 		metrics.peerBytes.set({direction: 'client_received'}, client.bytes.received);
 	};
 
-	const run = async (): Promise<void> => {
+	const runProbeLoop = async (): Promise<void> => {
 		for (let period = 0; !signal.aborted; period++) {
 			task.send({kind: 'expire'});
 			const choice = chooseProbe(task.getState(), random);
@@ -229,12 +234,12 @@
 				void probeMember(choice.target);
 			}
 
-			if (choice.target === undefined || period % strangerTurn === 0) {
-				void probeStranger();
+			if (choice.target === undefined || period % periodsPerUnknownProbe === 0) {
+				void probeUnknownAddress();
 			}
 
-			report();
-			// Jitter keeps daemons that were started together from probing in step.
+			updateMetrics();
+			// Jitter keeps daemons that started together from probing at the same moments.
 			const next = addMilliseconds(clock.now(), probeEveryMs * (0.9 + (random() * 0.2)));
 			await waitQuietly(clock, next, signal); // eslint-disable-line no-await-in-loop
 		}
@@ -256,9 +261,9 @@
 				options.takeVersions(address, versions);
 			}
 
-			const introduction = sender === undefined || isWanted ? [...task.getState().members.values()].slice(0, mostIntroduced) : [];
+			const introduction = sender === undefined || isWanted ? [...task.getState().members.values()].slice(0, maxIntroducedMembers) : [];
 			return {
-				updates: takeUpdates(sender),
+				updates: collectUpdates(sender),
 				introduction,
 				versions: options.makeVersionDigest(),
 				view: digestView(task.getState()),
@@ -266,11 +271,11 @@
 		},
 		async answerProbeFor(id) {
 			const target = task.getState().members.get(id);
-			return {isAlive: target !== undefined && await probe(target.address, target, probeEveryMs * probeShare)};
+			return {isAlive: target !== undefined && await probe(target.address, target, probeEveryMs * directProbeShare)};
 		},
 		noteAddresses(addresses) {
 			for (const address of addresses) {
-				strangers.add(address);
+				candidateAddresses.add(address);
 			}
 		},
 		announceLeaving() {
@@ -279,7 +284,7 @@
 		start(address) {
 			task.send({kind: 'replace', change: state => ({...state, self: {...state.self, address}})});
 			queueMicrotask(() => {
-				void run();
+				void runProbeLoop();
 			});
 		},
 	};
--- a/packages/tasks/src/suspect-book.ts
+++ b/packages/tasks/src/suspect-book.ts
@@ -1,6 +1,6 @@
 /**
- * Owns the requests suspected of ending backend servers. The book is shared with
- * peers at once; who may run a suspect a second time is decided by the log.
+ * Tracks requests that are suspected of crashing backend servers. Changes are broadcast to peers immediately.
+ * The log decides which daemon may run a suspected request a second time.
  */
 import {createHash} from 'node:crypto';
 import {isAnswering} from '@shallotpass/backends/engine-load.js';
@@ -14,32 +14,34 @@
 export type SuspectBook = {
 	readonly get: (fingerprint: string) => Suspect | undefined;
 	readonly list: () => Suspect[];
+	/** Applies suspects and cleared fingerprints received from a peer. */
 	readonly merge: (suspects: readonly Suspect[], lifted: readonly string[]) => void;
+	/** Clears a request of suspicion here and at all peers. */
 	readonly lift: (fingerprint: string) => void;
-	/** A request runs at a backend server; call the result when it no longer does. */
-	readonly begin: (backendId: string, run: SuspectRun) => () => void;
-	/** A stream broke off at the backend server; resolves when it is clear whether that was a death. */
+	/** Registers a request that runs at a backend server. Call the returned function when the run has ended. */
+	readonly trackRun: (backendId: string, run: SuspectRun) => () => void;
+	/** Checks whether the backend server died after a call to it was cut off. Resolves when the outcome is known. */
 	readonly investigate: (backendId: string) => Promise<void>;
-	/** Backend servers that run a suspect now; another suspect goes elsewhere. */
-	readonly listOccupied: () => ReadonlySet<string>;
-	readonly occupy: (backendId: string) => void;
-	readonly vacate: (backendId: string) => void;
+	/** Lists the backend servers reserved for a suspected request; other suspects must use different ones. */
+	readonly listReserved: () => ReadonlySet<string>;
+	readonly reserve: (backendId: string) => void;
+	readonly release: (backendId: string) => void;
 };
 
 export type SuspectRun = {
 	readonly fingerprint: string;
-	/** Tokens of its answer that have come. */
+	/** Returns the number of response tokens received so far. */
 	readonly getTokens: () => number;
 };
 
 type SuspectBookOptions = {
 	readonly environment: Environment;
 	readonly registry: BackendRegistry;
-	/** Tells the peers; they need not answer. */
+	/** Sends changes to the peers without waiting for replies. */
 	readonly spread: (suspects: readonly Suspect[], lifted: readonly string[]) => void;
 };
 
-/** Digest of what a backend server is given to run; a resend has the same. */
+/** Computes a digest of the request content. Resending the same request gives the same fingerprint. */
 export const makeFingerprint = (parts: readonly string[]): string => {
 	const hash = createHash('sha256');
 	for (const part of parts) {
@@ -49,19 +51,22 @@
 	return hash.digest('hex').slice(0, 32);
 };
 
-/** Time in which further deaths of the zone show that it is a wave. */
-const waveShowsMs = 150;
+/**
+ * How long to wait for further deaths in the same availability zone. Several deaths within a short
+ * time indicate that the zone's instances are being reclaimed, not that a request caused them.
+ */
+const waveDetectionMs = 150;
 
 export const makeSuspectBook = ({environment, registry, spread}: SuspectBookOptions): SuspectBook => {
 	const {clock, signal, metrics} = environment;
 	const logger = environment.makeLogger('suspects');
-	const running = new Map<string, Set<SuspectRun>>();
+	const runsByBackend = new Map<string, Set<SuspectRun>>();
 	const investigations = new Map<string, Promise<void>>();
-	const occupied = new Map<string, number>();
+	const reservationCounts = new Map<string, number>();
 	let deaths: Array<{availabilityZone: string; at: number}> = [];
 	let state: SuspectState = new Map();
 
-	const replace = (next: SuspectState): void => {
+	const setState = (next: SuspectState): void => {
 		state = next;
 		metrics.suspects.set(state.size);
 	};
@@ -72,16 +77,16 @@
 		return deaths.filter(death => death.availabilityZone === availabilityZone).length;
 	};
 
-	const judgeDeath = async (backendId: string, inFlight: readonly InFlight[]): Promise<void> => {
+	const recordDeathIfConfirmed = async (backendId: string, inFlight: readonly InFlight[]): Promise<void> => {
 		const view = registry.getView(backendId);
 		if (view === undefined || await isAnswering(view.address, signal)) {
 			return;
 		}
 
 		deaths.push({availabilityZone: view.availabilityZone, at: clock.now()});
-		await clock.waitUntil(addMilliseconds(clock.now(), waveShowsMs), signal);
+		await clock.waitUntil(addMilliseconds(clock.now(), waveDetectionMs), signal);
 		const before = state;
-		replace(recordDeath({
+		setState(recordDeath({
 			state,
 			backendId,
 			inFlight,
@@ -89,18 +94,18 @@
 			wasAnnounced: registry.isLeaving(backendId),
 			now: clock.now(),
 		}));
-		const news = [...state.values()].filter(suspect => before.get(suspect.fingerprint) !== suspect);
-		logger.warn('backend_died', {backend: backendId, inFlight: inFlight.length, suspects: news.length});
-		if (news.length > 0) {
-			spread(news, []);
+		const changed = [...state.values()].filter(suspect => before.get(suspect.fingerprint) !== suspect);
+		logger.warn('backend_died', {backend: backendId, inFlight: inFlight.length, suspects: changed.length});
+		if (changed.length > 0) {
+			spread(changed, []);
 		}
 	};
 
-	const investigateOnce = async (backendId: string): Promise<void> => {
-		const inFlight = [...running.get(backendId) ?? []].map(run => ({fingerprint: run.fingerprint, tokens: run.getTokens()}));
+	const runInvestigation = async (backendId: string): Promise<void> => {
+		const inFlight = [...runsByBackend.get(backendId) ?? []].map(run => ({fingerprint: run.fingerprint, tokens: run.getTokens()}));
 		registry.avoid(backendId);
 		try {
-			await judgeDeath(backendId, inFlight);
+			await recordDeathIfConfirmed(backendId, inFlight);
 		} catch (error) {
 			if (!signal.aborted) {
 				logger.error('investigation_failed', {backend: backendId, error});
@@ -116,7 +121,7 @@
 			return suspect !== undefined && suspect.forgetAt > clock.now() ? suspect : undefined;
 		},
 		list() {
-			replace(forgetSuspects(state, clock.now()));
+			setState(forgetSuspects(state, clock.now()));
 			return [...state.values()];
 		},
 		merge(suspects, lifted) {
@@ -125,45 +130,45 @@
 				next = liftSuspect(next, fingerprint);
 			}
 
-			replace(next);
+			setState(next);
 		},
 		lift(fingerprint) {
-			replace(liftSuspect(state, fingerprint));
+			setState(liftSuspect(state, fingerprint));
 			spread([], [fingerprint]);
 		},
-		begin(backendId, run) {
-			const runs = running.get(backendId) ?? new Set<SuspectRun>();
+		trackRun(backendId, run) {
+			const runs = runsByBackend.get(backendId) ?? new Set<SuspectRun>();
 			runs.add(run);
-			running.set(backendId, runs);
+			runsByBackend.set(backendId, runs);
 			return () => {
 				runs.delete(run);
-				if (runs.size === 0 && running.get(backendId) === runs) {
-					running.delete(backendId);
+				if (runs.size === 0 && runsByBackend.get(backendId) === runs) {
+					runsByBackend.delete(backendId);
 				}
 			};
 		},
 		async investigate(backendId) {
-			const known = investigations.get(backendId);
-			if (known !== undefined) {
-				return known;
+			const existing = investigations.get(backendId);
+			if (existing !== undefined) {
+				return existing;
 			}
 
-			const started = investigateOnce(backendId);
-			investigations.set(backendId, started);
-			return started;
+			const investigation = runInvestigation(backendId);
+			investigations.set(backendId, investigation);
+			return investigation;
 		},
-		listOccupied: () => new Set(occupied.keys()),
-		occupy(backendId) {
-			occupied.set(backendId, (occupied.get(backendId) ?? 0) + 1);
+		listReserved: () => new Set(reservationCounts.keys()),
+		reserve(backendId) {
+			reservationCounts.set(backendId, (reservationCounts.get(backendId) ?? 0) + 1);
 		},
-		vacate(backendId) {
-			const left = (occupied.get(backendId) ?? 0) - 1;
-			if (left > 0) {
-				occupied.set(backendId, left);
+		release(backendId) {
+			const remaining = (reservationCounts.get(backendId) ?? 0) - 1;
+			if (remaining > 0) {
+				reservationCounts.set(backendId, remaining);
 				return;
 			}
 
-			occupied.delete(backendId);
+			reservationCounts.delete(backendId);
 		},
 	};
 };
