--- a/apps/daemon/src/follow-platform.ts
+++ b/apps/daemon/src/follow-platform.ts
@@ -29,8 +29,8 @@
 			}
 
 			const entries = event.list.instances.filter(instance => instance.role === 'entry' && instance.state === 'live');
-			registry.takeList(event.list);
-			membership.noteAddresses(entries.map(instance => instance.address));
+			registry.applyInstanceList(event.list);
+			membership.addCandidateAddresses(entries.map(instance => instance.address));
 		},
 	});
 };
@@ -49,7 +49,7 @@
 				return;
 			}
 
-			registry.noteLeaving(instanceId, leavesAt);
+			registry.applyLeavingNotice(instanceId, leavesAt);
 		},
 		onOutage(error) {
 			logger.debug('cloud_unreachable', {error});
--- a/apps/daemon/src/make-peer-handlers.ts
+++ b/apps/daemon/src/make-peer-handlers.ts
@@ -5,7 +5,7 @@
 import {type ConfigurationTask} from '@shallotpass/tasks/configuration-task.js';
 import {type Environment} from '@shallotpass/tasks/environment.js';
 import {type MembershipTask} from '@shallotpass/tasks/membership-task.js';
-import {type SuspectBook} from '@shallotpass/tasks/suspect-book.js';
+import {type SuspectRegistry} from '@shallotpass/tasks/suspect-registry.js';
 import {type Tracing} from '@shallotpass/telemetry/tracing.js';
 
 type HandlerTasks = {
@@ -13,7 +13,7 @@
 	readonly configuration: ConfigurationTask;
 	readonly membership: MembershipTask;
 	readonly claims: ClaimService;
-	readonly suspects: SuspectBook;
+	readonly suspects: SuspectRegistry;
 	readonly registry: BackendRegistry;
 	readonly tracing: Tracing;
 };
@@ -27,7 +27,7 @@
 	},
 	status: () => ({
 		availabilityZone: environment.settings.instance.availabilityZone,
-		versions: Object.fromEntries([...configuration.getInForce().teams.values()].map(({team, version}) => [team, version as number])),
+		versions: Object.fromEntries([...configuration.getActiveConfigurations().teams.values()].map(({team, version}) => [team, version as number])),
 	}),
 	async claim({claim, isNew, traceparent}, from) {
 		const hop = tracing.startHop('claim', traceparent, {from});
@@ -39,7 +39,7 @@
 	},
 	recordOutcome: async ({keyName, outcome}) => ({isRecorded: await claims.recordForPeer(keyName, outcome)}),
 	leaving({backendId, leavesAt}) {
-		registry.noteLeaving(backendId, leavesAt);
+		registry.applyLeavingNotice(backendId, leavesAt);
 		return {};
 	},
 	suspects(parameters) {
--- a/apps/daemon/src/observe-fleet.ts
+++ b/apps/daemon/src/observe-fleet.ts
@@ -5,11 +5,11 @@
 import {type Offer} from '@shallotpass/core/fleet/types.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
 import {type FleetDemand} from '@shallotpass/tasks/fleet-duty.js';
-import {type InForce} from '@shallotpass/tasks/in-force.js';
+import {type ActiveConfigurations} from '@shallotpass/tasks/active-configurations.js';
 
 type ObserveOptions = {
 	readonly clock: Clock;
-	readonly getInForce: () => InForce;
+	readonly getInForce: () => ActiveConfigurations;
 	readonly listEngines: () => readonly BackendView[];
 	/** Requests that wait for an engine in the whole region, estimated from those that wait here. */
 	readonly countWaiting: () => number;
@@ -20,7 +20,7 @@
 /** From an order to an engine that has its model loaded; a start that takes longer finds the rise not covered for the difference. */
 const startMs = 240_000;
 
-export const listOffers = (inForce: InForce): Offer[] => [...inForce.teams.values()]
+export const listOffers = (inForce: ActiveConfigurations): Offer[] => [...inForce.teams.values()]
 	.flatMap(({configuration}) => configuration.price)
 	.flatMap(({availabilityZone, machineClass, reclaimable, onDemand, places}) => places === undefined
 		? []
--- a/apps/daemon/src/start-daemon.ts
+++ b/apps/daemon/src/start-daemon.ts
@@ -19,10 +19,10 @@
 import {makeClaimService} from '@shallotpass/tasks/claim-service.js';
 import {startConfigurationTask} from '@shallotpass/tasks/configuration-task.js';
 import {type Environment} from '@shallotpass/tasks/environment.js';
-import {makeServiceId} from '@shallotpass/tasks/in-force.js';
+import {makeServiceId} from '@shallotpass/tasks/active-configurations.js';
 import {runLoadReports} from '@shallotpass/tasks/load-reports.js';
 import {startMembershipTask} from '@shallotpass/tasks/membership-task.js';
-import {makeSuspectBook} from '@shallotpass/tasks/suspect-book.js';
+import {makeSuspectRegistry} from '@shallotpass/tasks/suspect-registry.js';
 import {makeLogger} from '@shallotpass/telemetry/logger.js';
 import {makeMetrics} from '@shallotpass/telemetry/metrics.js';
 import {startTracing} from '@shallotpass/telemetry/tracing.js';
@@ -130,8 +130,8 @@
 		client,
 		epoch,
 		makeVersionDigest: () => configuration.makeVersionDigest(),
-		takeVersions(address, versions) {
-			configuration.takeVersions(address, versions);
+		receiveVersions(address, versions) {
+			configuration.receiveVersions(address, versions);
 		},
 	});
 
@@ -157,30 +157,30 @@
 		},
 		listPeerAddresses: () => [...settings.peers.seeds, ...peerNews.pickPeers(mostAsked).map(member => member.address)],
 		isZoneReader: () => listZoneReaders().includes(settings.instance.id),
-		getPlace: () => membership.listReachable().indexOf(settings.instance.id),
-		spread() {
+		getMemberIndex: () => membership.listReachable().indexOf(settings.instance.id),
+		announceVersions() {
 			void peerNews.spreadVersions(versions => {
-				configuration.takeVersions(versions.address, versions.versions);
+				configuration.receiveVersions(versions.address, versions.versions);
 			});
 		},
 	});
-	configuration.onInForce(inForce => {
-		registry.takeConfiguration(inForce);
+	configuration.onActivated(inForce => {
+		registry.applyConfigurations(inForce);
 	});
 
 	const claims = makeClaimService({
 		environment, log: platform.log, client, membership,
 	});
-	const suspects = makeSuspectBook({
+	const suspects = makeSuspectRegistry({
 		environment,
 		registry,
-		spread(news, lifted) {
+		broadcast(news, lifted) {
 			void peerNews.tellSuspects(news, lifted);
 		},
 	});
 	const gate = makeAdmissionGate({
 		environment,
-		getCapacity: registry.countPlaces,
+		getCapacity: registry.countSlots,
 		countMembers: () => membership.listReachable().length,
 	});
 
@@ -205,7 +205,7 @@
 
 	let isDraining = false;
 	let draining: Promise<void> | undefined;
-	const isReady = (): boolean => !isDraining && (configuration.hasReadLog() || configuration.getInForce().teams.size > 0);
+	const isReady = (): boolean => !isDraining && (configuration.hasReadLog() || configuration.getActiveConfigurations().teams.size > 0);
 
 	const adminListener = await startAdminListener({
 		listen: splitAddress(settings.listen.admin),
@@ -250,8 +250,8 @@
 		membership.announceLeaving();
 		await waitQuietly(clock, addMilliseconds(clock.now(), drainNoticeMs), stopping.signal);
 		callerListener.startDraining();
-		await callerListener.waitIdle();
-		await claims.settle();
+		await callerListener.waitUntilIdle();
+		await claims.waitForPendingOutcomes();
 		logger.info('drain_ended');
 		await stop();
 	};
@@ -261,7 +261,7 @@
 		return draining;
 	};
 
-	const isModelService = (serviceId: string): boolean => [...configuration.getInForce().teams.values()].some(({team, configuration: file}) =>
+	const isModelService = (serviceId: string): boolean => [...configuration.getActiveConfigurations().teams.values()].some(({team, configuration: file}) =>
 		file.service.some(service => service.kind === 'model' && makeServiceId(team, service.name) === serviceId));
 
 	membership.start(options.announcePeersAs ?? announceAddress(settings, peerServer.address));
@@ -281,18 +281,18 @@
 		holder: `${settings.instance.id} ${epoch}`,
 		timing: defaultFleetTiming,
 		announceEnd(instanceId: string, leavesAt: Deadline) {
-			registry.noteLeaving(instanceId, leavesAt);
+			registry.applyLeavingNotice(instanceId, leavesAt);
 			void peerNews.tellLeaving(instanceId, leavesAt);
 		},
-		observe: makeObserveFleet({
+		measureDemand: makeObserveFleet({
 			clock,
-			getInForce: configuration.getInForce,
+			getInForce: configuration.getActiveConfigurations,
 			listEngines: () => registry.list().filter(view => view.services.some(serviceId => isModelService(serviceId))),
 			countWaiting: () => gate.countWaiting() * membership.listReachable().length,
 		}),
 	};
 	if (platform.cloud !== undefined) {
-		const hasOffers = (): boolean => listOffers(configuration.getInForce()).length > 0;
+		const hasOffers = (): boolean => listOffers(configuration.getActiveConfigurations()).length > 0;
 		void runFleetDuty({...fleetOptions, cloud: platform.cloud}, () => !isDraining && hasOffers() && listZoneReaders().includes(settings.instance.id));
 	}
 
@@ -324,6 +324,6 @@
 		stop,
 		countPeerBytes: () => client.bytes.sent + client.bytes.received + peerServer.bytes.sent + peerServer.bytes.received,
 		listMembers: membership.listReachable,
-		getVersion: team => configuration.getInForce().teams.get(team)?.version ?? noConfigurationVersion,
+		getVersion: team => configuration.getActiveConfigurations().teams.get(team)?.version ?? noConfigurationVersion,
 	};
 };
--- a/packages/admin/src/admin-services.ts
+++ b/packages/admin/src/admin-services.ts
@@ -3,7 +3,7 @@
 import {type ConfigurationTask} from '@shallotpass/tasks/configuration-task.js';
 import {type Environment} from '@shallotpass/tasks/environment.js';
 import {type MembershipTask} from '@shallotpass/tasks/membership-task.js';
-import {type SuspectBook} from '@shallotpass/tasks/suspect-book.js';
+import {type SuspectRegistry} from '@shallotpass/tasks/suspect-registry.js';
 
 export type PeerStatus = {
 	readonly id: string;
@@ -18,7 +18,7 @@
 	readonly configuration: ConfigurationTask;
 	readonly membership: MembershipTask;
 	readonly registry: BackendRegistry;
-	readonly suspects: SuspectBook;
+	readonly suspects: SuspectRegistry;
 	readonly log: LogService;
 	/** True when the daemon runs on the platform in its own memory. */
 	readonly isEmbedded: boolean;
--- a/packages/admin/src/apply-configuration.ts
+++ b/packages/admin/src/apply-configuration.ts
@@ -50,7 +50,7 @@
 };
 
 export const planConfiguration = (services: AdminServices, team: string, toml: string): PlanResult => {
-	const current = services.configuration.getInForce().teams.get(team);
+	const current = services.configuration.getActiveConfigurations().teams.get(team);
 	return {
 		base: getAcceptedVersion(services.configuration.getState(), team),
 		changes: diffConfigurations(current?.configuration, readConfiguration(toml)),
--- a/packages/admin/src/describe-status.ts
+++ b/packages/admin/src/describe-status.ts
@@ -6,7 +6,7 @@
 	Object.fromEntries(Object.entries(versions).filter(([team]) => canSeeTeam(operator, team)));
 
 const listVersionsInForce = (services: AdminServices): Record<string, number> =>
-	Object.fromEntries([...services.configuration.getInForce().teams.values()].map(({team, version}) => [team, version]));
+	Object.fromEntries([...services.configuration.getActiveConfigurations().teams.values()].map(({team, version}) => [team, version]));
 
 /** Lowest version in force in each availability zone by team; a member that does not answer counts as silent. */
 export const describeZones = async (services: AdminServices, operator: Operator) => {
--- a/packages/callers/src/admission-gate.ts
+++ b/packages/callers/src/admission-gate.ts
@@ -33,7 +33,7 @@
 
 export type AdmissionGate = {
 	/** Waits for admission. Resolves to a function that releases the slot; rejects if the request is refused. */
-	readonly enter: (request: EntryRequest) => Promise<() => void>;
+	readonly admit: (request: EntryRequest) => Promise<() => void>;
 	readonly countRunning: () => number;
 	readonly countWaiting: () => number;
 };
@@ -234,7 +234,7 @@
 	};
 
 	return {
-		async enter(request) {
+		async admit(request) {
 			chargeAccountLimits(request);
 			const serviceQueue = getServiceQueue(request.serviceId);
 			if (getCapacity(request.serviceId) === 0) {
--- a/packages/callers/src/caller-call.ts
+++ b/packages/callers/src/caller-call.ts
@@ -5,7 +5,7 @@
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {type Deadline} from '@shallotpass/common/types.js';
 import {type LatencyTarget} from '@shallotpass/core/routing/types.js';
-import {findClass, type TeamAccount, type InForce} from '@shallotpass/tasks/in-force.js';
+import {findClass, type TeamAccount, type ActiveConfigurations} from '@shallotpass/tasks/active-configurations.js';
 import {type Hop} from '@shallotpass/telemetry/tracing.js';
 
 export type CallerCall = {
@@ -49,7 +49,7 @@
 };
 
 /** Finds the client account of the API key in the Authorization header. Only digests of the keys are stored. */
-export const authenticate = (request: IncomingMessage, activeConfigurations: InForce): TeamAccount => {
+export const authenticate = (request: IncomingMessage, activeConfigurations: ActiveConfigurations): TeamAccount => {
 	const match = /^Bearer +(\S+)$/iv.exec(getHeader(request, 'authorization') ?? '');
 	if (match === null) {
 		throw new ServingError('the Authorization field must be Bearer and a key', {kind: 'unauthenticated'});
@@ -103,7 +103,7 @@
 };
 
 /** Returns the latency class that the caller requests, or the service's default class. */
-export const readClass = (request: IncomingMessage, activeConfigurations: InForce, {team, account}: TeamAccount, service: Service): CallClass => {
+export const readClass = (request: IncomingMessage, activeConfigurations: ActiveConfigurations, {team, account}: TeamAccount, service: Service): CallClass => {
 	const requestedClass = getHeader(request, 'x-request-class');
 	if (requestedClass !== undefined && !account.classes.includes(requestedClass)) {
 		throw new ServingError(`client account ${account.name} may not ask for class ${requestedClass.slice(0, 63)}`, {kind: 'forbidden'});
--- a/packages/callers/src/choose-engine.ts
+++ b/packages/callers/src/choose-engine.ts
@@ -5,7 +5,7 @@
 import {predictFirstToken} from '@shallotpass/core/routing/predict-wait.js';
 import {type BackendView, type RoutedCall} from '@shallotpass/core/routing/types.js';
 import {getLatencyTarget} from './caller-call.js';
-import {type ChatContext, type ChatProgress} from './chat-work.js';
+import {type ChatContext, type ChatProgress} from './chat-context.js';
 
 const retryAfterMs = 1000;
 
@@ -40,7 +40,7 @@
 		throw new ServingError(`no engine serves ${context.service.name} now`, {kind: 'no_backend', retryAt: addMilliseconds(environment.clock.now(), retryAfterMs)});
 	}
 
-	const predictedWaitMs = predictFirstToken(chosen, routedCall, registry.countCached(chosen.id, context.prefixHashes));
+	const predictedWaitMs = predictFirstToken(chosen, routedCall, registry.countCachedBlocks(chosen.id, context.prefixHashes));
 	if (context.hasCallerDeadline && chosen.speed.samples > 0 && !progress.position.hasStarted && routedCall.now + predictedWaitMs > context.deadline) {
 		throw new ServingError(`the first token is expected in ${Math.round(predictedWaitMs)} ms, after the deadline`, {
 			kind: 'deadline_unreachable', retryAt: addMilliseconds(routedCall.now, retryAfterMs),
--- a/packages/callers/src/listener.ts
+++ b/packages/callers/src/listener.ts
@@ -26,7 +26,7 @@
 	/** Refuses new requests from now on, and closes connections after their current response. */
 	readonly startDraining: () => void;
 	/** Resolves when no request is in flight. */
-	readonly waitIdle: () => Promise<void>;
+	readonly waitUntilIdle: () => Promise<void>;
 	readonly close: () => Promise<void>;
 };
 
@@ -54,7 +54,7 @@
 
 const route = async (call: CallerCall, services: CallerServices, budgets: RetryBudgets): Promise<string> => {
 	const {pathname} = call.url;
-	if (services.configuration.getInForce().teams.size === 0) {
+	if (services.configuration.getActiveConfigurations().teams.size === 0) {
 		throw new ServingError('no configuration has been accepted, or none has reached this daemon', {
 			kind: 'no_configuration', retryAt: addMilliseconds(services.environment.clock.now(), retryAfterMs),
 		});
@@ -220,7 +220,7 @@
 		startDraining() {
 			isDraining = true;
 		},
-		async waitIdle() {
+		async waitUntilIdle() {
 			if (inFlight === 0) {
 				return;
 			}
--- a/packages/callers/src/plain-call.ts
+++ b/packages/callers/src/plain-call.ts
@@ -6,7 +6,7 @@
 import {BackendCallError, type PlainAnswer} from '@shallotpass/backends/call-plain.js';
 import {filterRequestFields, readRawFields, type HttpField} from '@shallotpass/backends/http-fields.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
-import {findService, makeServiceId, type TeamAccount} from '@shallotpass/tasks/in-force.js';
+import {findService, makeServiceId, type TeamAccount} from '@shallotpass/tasks/active-configurations.js';
 import {type AttemptSignal} from './attempt-signal.js';
 import {
 	authenticate, checkServiceAccess, isPatient, readClass, readDeadline, type CallClass, type CallerCall,
@@ -40,7 +40,7 @@
 
 /** Authenticates the caller and finds the service of the call; throws if either fails. */
 export const makePlainCallContext = (call: CallerCall, services: CallerServices): PlainCallContext => {
-	const activeConfigurations = services.configuration.getInForce();
+	const activeConfigurations = services.configuration.getActiveConfigurations();
 	const account = authenticate(call.request, activeConfigurations);
 	const {name, rest} = splitPath(call.url);
 	const service = findService(activeConfigurations, account.team, name);
@@ -69,7 +69,7 @@
 export const admitCall = async (context: PlainCallContext): Promise<() => void> => {
 	const hop = context.call.hop.makeChild('admission');
 	try {
-		return await context.services.gate.enter({
+		return await context.services.gate.admit({
 			id: context.call.requestId,
 			team: context.account.team,
 			account: context.account.account,
--- a/packages/callers/src/pass-answer.ts
+++ b/packages/callers/src/relay-response.ts
@@ -7,7 +7,7 @@
 import {type BackendView} from '@shallotpass/core/routing/types.js';
 import {type AttemptSignal} from './attempt-signal.js';
 import {getLatencyTarget} from './caller-call.js';
-import {type ChatContext, type ChatProgress} from './chat-work.js';
+import {type ChatContext, type ChatProgress} from './chat-context.js';
 
 /** Waits until the response can be written again. Ends early if the caller disconnects or the attempt is aborted. */
 const waitForDrain = async (context: ChatContext, signal: AbortSignal): Promise<void> => new Promise(resolve => {
@@ -57,7 +57,7 @@
 	const {registry, environment} = context.services;
 	const tokens = progress.position.tokens - tokensBefore;
 	const tokenMs = tokens > 1 && !isCallerSlow ? (environment.clock.now() - progress.firstTokenAt) / (tokens - 1) : undefined;
-	registry.learn(engine.id, {
+	registry.recordSpeedSample(engine.id, {
 		firstTokenMs: progress.firstTokenAt - startedAt,
 		tokenMs,
 		isLate: isLate(tokenMs, getLatencyTarget(context.callClass)),
@@ -132,7 +132,7 @@
 		signal: attemptSignal.signal,
 	}, connections);
 	progress.firstTokenAt = environment.clock.now();
-	context.services.registry.learn(engine.id, {
+	context.services.registry.recordSpeedSample(engine.id, {
 		firstTokenMs: engine.speed.firstTokenMs,
 		tokenMs: (environment.clock.now() - startedAt) / getExpectedTokens(context.chat),
 		uncachedTokens: 0,
--- a/packages/callers/src/serve-chat.ts
+++ b/packages/callers/src/serve-chat.ts
@@ -14,8 +14,8 @@
 import {estimateTokens, hashPrompt} from '@shallotpass/core/routing/hash-prompt.js';
 import {computeBackoff} from '@shallotpass/core/retries/retry-budget.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
-import {findServiceByModel, makeServiceId, type TeamAccount} from '@shallotpass/tasks/in-force.js';
-import {makeFingerprint} from '@shallotpass/tasks/suspect-book.js';
+import {findServiceByModel, makeServiceId, type TeamAccount} from '@shallotpass/tasks/active-configurations.js';
+import {makeFingerprint} from '@shallotpass/tasks/suspect-registry.js';
 import {
 	authenticate,
 	isPatient,
@@ -23,7 +23,7 @@
 	readDeadline,
 	type CallerCall,
 } from './caller-call.js';
-import {type ChatContext, type ChatProgress, type AttemptResult} from './chat-work.js';
+import {type ChatContext, type ChatProgress, type AttemptResult} from './chat-context.js';
 import {chooseEngine} from './choose-engine.js';
 import {readCallerBody} from './read-body.js';
 import {type RetryBudgets} from './retry-budgets.js';
@@ -59,7 +59,7 @@
 };
 
 const findChatService = (services: CallerServices, account: TeamAccount, model: string): Service => {
-	const service = findServiceByModel(services.configuration.getInForce(), account, model);
+	const service = findServiceByModel(services.configuration.getActiveConfigurations(), account, model);
 	if (service === undefined) {
 		throw new ServingError(`model ${model.slice(0, 100)} is not served to client account ${account.account.name}`, {kind: 'not_found'});
 	}
@@ -142,7 +142,7 @@
 export const serveChat = async (call: CallerCall, services: CallerServices, budgets: RetryBudgets): Promise<string> => {
 	const {environment, configuration, gate} = services;
 	const {clock, settings} = environment;
-	const activeConfigurations = configuration.getInForce();
+	const activeConfigurations = configuration.getActiveConfigurations();
 	const account = authenticate(call.request, activeConfigurations);
 	const body = await readCallerBody(call.request, settings.limits.maxBodyBytes);
 	const chat = parseChat(new TextDecoder().decode(body));
@@ -168,7 +168,7 @@
 	budgets.earn(context.budgetName);
 	checkQuarantine(services, context.fingerprint);
 	const hop = call.hop.makeChild('admission');
-	const release = await gate.enter({
+	const release = await gate.admit({
 		id: call.requestId,
 		team: account.team,
 		account: account.account,
--- a/packages/callers/src/serve-claimed.ts
+++ b/packages/callers/src/serve-claimed.ts
@@ -147,7 +147,7 @@
 			signal: attemptSignal.signal,
 		}, connections);
 		const content = await readResponseBody(answer.body);
-		registry.learn(backend.id, {firstTokenMs: environment.clock.now() - startedAt, uncachedTokens: 0}, []);
+		registry.recordSpeedSample(backend.id, {firstTokenMs: environment.clock.now() - startedAt, uncachedTokens: 0}, []);
 		return {status: answer.status, headers: [...answer.fields], bodyBase64: content.toString('base64')};
 	};
 
--- a/packages/callers/src/serve-models.ts
+++ b/packages/callers/src/serve-models.ts
@@ -3,7 +3,7 @@
 
 /** Sends the list of models that the caller's client account may use, in the OpenAI format. */
 export const serveModels = (call: CallerCall, {configuration}: CallerServices): void => {
-	const activeConfigurations = configuration.getInForce();
+	const activeConfigurations = configuration.getActiveConfigurations();
 	const {team, account} = authenticate(call.request, activeConfigurations);
 	const services = activeConfigurations.teams.get(team)?.configuration.service ?? [];
 	const models = services
--- a/packages/callers/src/serve-repeatable.ts
+++ b/packages/callers/src/serve-repeatable.ts
@@ -96,7 +96,7 @@
 			isRepeatable: true,
 			signal: attemptSignal.signal,
 		}, connections);
-		registry.learn(backend.id, {firstTokenMs: environment.clock.now() - startedAt, uncachedTokens: 0}, []);
+		registry.recordSpeedSample(backend.id, {firstTokenMs: environment.clock.now() - startedAt, uncachedTokens: 0}, []);
 		await relayResponse(context, answer);
 	};
 
--- a/packages/callers/src/services.ts
+++ b/packages/callers/src/services.ts
@@ -4,7 +4,7 @@
 import {type ConfigurationTask} from '@shallotpass/tasks/configuration-task.js';
 import {type Environment} from '@shallotpass/tasks/environment.js';
 import {type MembershipTask} from '@shallotpass/tasks/membership-task.js';
-import {type SuspectBook} from '@shallotpass/tasks/suspect-book.js';
+import {type SuspectRegistry} from '@shallotpass/tasks/suspect-registry.js';
 import {type Tracing} from '@shallotpass/telemetry/tracing.js';
 import {type AdmissionGate} from './admission-gate.js';
 
@@ -15,7 +15,7 @@
 	readonly membership: MembershipTask;
 	readonly registry: BackendRegistry;
 	readonly claims: ClaimService;
-	readonly suspects: SuspectBook;
+	readonly suspects: SuspectRegistry;
 	readonly connections: BackendConnections;
 	readonly gate: AdmissionGate;
 	readonly tracing: Tracing;
--- a/packages/callers/src/try-engine.ts
+++ b/packages/callers/src/try-engine.ts
@@ -8,8 +8,8 @@
 import {type BackendView} from '@shallotpass/core/routing/types.js';
 import {makeAttemptSignal, type AttemptSignal} from './attempt-signal.js';
 import {getLatencyTarget} from './caller-call.js';
-import {type ChatContext, type ChatProgress} from './chat-work.js';
-import {relayStream, relayWhole} from './pass-answer.js';
+import {type ChatContext, type ChatProgress} from './chat-context.js';
+import {relayStream, relayWhole} from './relay-response.js';
 
 /** Multiplies the quiet timeout until the first token arrives, because the engine may be processing a long prompt. */
 const promptQuietFactor = 3;
@@ -101,12 +101,12 @@
 		onQuiet: async () => isQuietFault(context, engine, progress, startedAt),
 	});
 	const hop = call.hop.makeChild('backend', {backend: engine.id, try: progress.attempts});
-	const uncachedTokens = Math.max(0, context.promptTokens - (registry.countCached(engine.id, context.prefixHashes) * estimateTokens(blockCharacters)));
+	const uncachedTokens = Math.max(0, context.promptTokens - (registry.countCachedBlocks(engine.id, context.prefixHashes) * estimateTokens(blockCharacters)));
 	let isPromptProcessed = false;
 	const markPromptProcessed = (): void => {
 		if (!isPromptProcessed) {
 			isPromptProcessed = true;
-			registry.noteRead(engine.id, uncachedTokens);
+			registry.recordPromptProcessed(engine.id, uncachedTokens);
 		}
 	};
 
--- a/packages/callers/src/try-suspect.ts
+++ b/packages/callers/src/try-suspect.ts
@@ -7,7 +7,7 @@
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {isPastDeath} from '@shallotpass/core/retries/suspects.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
-import {type ChatContext, type ChatProgress, type AttemptResult} from './chat-work.js';
+import {type ChatContext, type ChatProgress, type AttemptResult} from './chat-context.js';
 import {chooseEngine} from './choose-engine.js';
 import {acquireProbation, type Probation} from './probation.js';
 import {type SecondRun} from './second-run.js';
--- a/packages/tasks/src/in-force.ts
+++ b/packages/tasks/src/active-configurations.ts
@@ -19,12 +19,12 @@
 	readonly account: Account;
 };
 
-export type InForce = {
+export type ActiveConfigurations = {
 	readonly teams: ReadonlyMap<string, ActiveTeamConfiguration>;
 	readonly accountsByDigest: ReadonlyMap<string, TeamAccount>;
 };
 
-export const nothingInForce: InForce = {teams: new Map(), accountsByDigest: new Map()};
+export const noActiveConfigurations: ActiveConfigurations = {teams: new Map(), accountsByDigest: new Map()};
 
 export const defaultTeam = 'default';
 
@@ -35,7 +35,7 @@
 export const makeServiceId = (team: string, service: string): string => team === defaultTeam ? service : `${team}/${service}`;
 
 export type ActivationResult =
-	| {readonly kind: 'done'; readonly inForce: InForce}
+	| {readonly kind: 'done'; readonly inForce: ActiveConfigurations}
 	/** This daemon cannot parse the version, so the previous version stays active. */
 	| {readonly kind: 'unreadable'; readonly mistakes: readonly string[]};
 
@@ -53,7 +53,7 @@
 };
 
 /** Parses an accepted version and makes it the active configuration of its team. */
-export const putInForce = (activeConfigurations: InForce, accepted: AcceptedConfiguration, now: number): ActivationResult => {
+export const activateConfiguration = (activeConfigurations: ActiveConfigurations, accepted: AcceptedConfiguration, now: number): ActivationResult => {
 	const parsed = readToml(accepted.toml, configurationSchema);
 	if (parsed.kind === 'mistakes') {
 		return {kind: 'unreadable', mistakes: parsed.mistakes.map(mistake => formatMistake(`version ${accepted.version}`, mistake))};
@@ -66,25 +66,25 @@
 	return {kind: 'done', inForce: {teams, accountsByDigest: indexAccounts(teams)}};
 };
 
-export const findService = (activeConfigurations: InForce, team: string, name: string): Service | undefined =>
+export const findService = (activeConfigurations: ActiveConfigurations, team: string, name: string): Service | undefined =>
 	activeConfigurations.teams.get(team)?.configuration.service.find(service => service.name === name);
 
-export const findServiceByModel = (activeConfigurations: InForce, {team, account}: TeamAccount, model: string): Service | undefined =>
+export const findServiceByModel = (activeConfigurations: ActiveConfigurations, {team, account}: TeamAccount, model: string): Service | undefined =>
 	activeConfigurations.teams.get(team)?.configuration.service.find(service =>
 		service.kind === 'model' && service.models.includes(model) && account.services.includes(service.name));
 
-export const findClass = (activeConfigurations: InForce, team: string, name: string | undefined): LatencyClass | undefined =>
+export const findClass = (activeConfigurations: ActiveConfigurations, team: string, name: string | undefined): LatencyClass | undefined =>
 	activeConfigurations.teams.get(team)?.configuration.class.find(item => item.name === name);
 
 export type TeamBackend = ConfiguredBackend & {readonly serviceIds: readonly string[]};
 
 /** Lists the backend servers that the configurations of all teams declare. */
-export const listConfiguredBackends = (activeConfigurations: InForce): TeamBackend[] =>
+export const listConfiguredBackends = (activeConfigurations: ActiveConfigurations): TeamBackend[] =>
 	[...activeConfigurations.teams.values()].flatMap(({team, configuration}) =>
 		configuration.backend.map(backend => ({...backend, serviceIds: backend.services.map(service => makeServiceId(team, service))})));
 
 /** Returns the price of a reclaimable instance in credits per hour, or 0 if no team configures a price. */
-export const findPrice = (activeConfigurations: InForce, availabilityZone: string, machineClass: string): number => {
+export const findPrice = (activeConfigurations: ActiveConfigurations, availabilityZone: string, machineClass: string): number => {
 	for (const {configuration} of activeConfigurations.teams.values()) {
 		const price = configuration.price.find(item => item.availabilityZone === availabilityZone && item.machineClass === machineClass);
 		if (price !== undefined) {
--- a/packages/tasks/src/backend-registry.ts
+++ b/packages/tasks/src/backend-registry.ts
@@ -21,7 +21,7 @@
 	type BackendView, type LoadReport, type RoutedCall, type RoutingPolicy,
 } from '@shallotpass/core/routing/types.js';
 import {type Environment} from './environment.js';
-import {findPrice, listConfiguredBackends, type InForce} from './in-force.js';
+import {findPrice, listConfiguredBackends, type ActiveConfigurations} from './active-configurations.js';
 
 type Origin = 'configuration' | 'list';
 
@@ -46,14 +46,14 @@
 
 export type BackendRegistry = {
 	/** Adds and removes backend servers to match the active configurations. */
-	readonly takeConfiguration: (activeConfigurations: InForce) => void;
+	readonly applyConfigurations: (activeConfigurations: ActiveConfigurations) => void;
 	/** Adds and removes backend servers to match the instance list. */
-	readonly takeList: (list: InstanceList) => void;
+	readonly applyInstanceList: (list: InstanceList) => void;
 	/** Applies a reclaim notice. Calls that run on the backend server are moved before `leavesAt`. */
-	readonly noteLeaving: (id: string, leavesAt: number | undefined) => void;
-	readonly takeReport: (id: string, report: LoadReport) => void;
+	readonly applyLeavingNotice: (id: string, leavesAt: number | undefined) => void;
+	readonly applyLoadReport: (id: string, report: LoadReport) => void;
 	/** Applies cache events reported by an engine. They correct what was inferred from this daemon's own calls. */
-	readonly takeCacheEvents: (id: string, events: readonly CacheEvent[]) => void;
+	readonly applyCacheEvents: (id: string, events: readonly CacheEvent[]) => void;
 	/** Discards what is known of the engine's cache, for example after a restart. */
 	readonly forgetCache: (id: string) => void;
 	/** Selects a backend server by the routing policy; undefined if none is available. */
@@ -61,23 +61,23 @@
 	/** Records that a call was sent to the backend server. Each call of `begin` is followed by one of `end`. */
 	readonly begin: (id: string, start?: CallStart) => void;
 	/** Records that the engine has processed the prompt tokens of a call. */
-	readonly noteRead: (id: string, promptTokens: number) => void;
+	readonly recordPromptProcessed: (id: string, promptTokens: number) => void;
 	readonly end: (id: string, isUrgent?: boolean) => void;
 	/** Records a measured speed and the prompt prefix that the engine has cached by now. */
-	readonly learn: (id: string, sample: SpeedSample, chain: readonly bigint[]) => void;
+	readonly recordSpeedSample: (id: string, sample: SpeedSample, chain: readonly bigint[]) => void;
 	/** Sends no new calls to the backend server for a short time. */
 	readonly avoid: (id: string) => void;
 	readonly list: () => BackendView[];
 	readonly getView: (id: string) => BackendView | undefined;
 	/** Counts the prompt blocks that the engine is expected to have cached. */
-	readonly countCached: (id: string, chain: readonly bigint[]) => number;
+	readonly countCachedBlocks: (id: string, chain: readonly bigint[]) => number;
 	/** Returns a signal that is aborted shortly before the backend server is removed. */
 	readonly getLeavingSignal: (id: string) => AbortSignal | undefined;
 	readonly isLeaving: (id: string) => boolean;
 	/** Counts the backend servers that serve the service and are not leaving. */
 	readonly countServing: (serviceId: string) => number;
 	/** Returns how many calls of the service may run at once: the sum of its backend servers' concurrency limits. */
-	readonly countPlaces: (serviceId: string) => number;
+	readonly countSlots: (serviceId: string) => number;
 };
 
 type RegistryOptions = {
@@ -113,7 +113,7 @@
 	const entries = new Map<string, Entry>();
 	const prefixes = makeKnownPrefixes(maxKnownBlocks);
 	const leavingNotices = new Map<string, number | undefined>();
-	let activeConfigurations: InForce | undefined;
+	let activeConfigurations: ActiveConfigurations | undefined;
 	let instanceList: InstanceList | undefined;
 
 	const scheduleMove = async (entry: Entry): Promise<void> => {
@@ -242,19 +242,19 @@
 	};
 
 	return {
-		takeConfiguration(next) {
+		applyConfigurations(next) {
 			activeConfigurations = next;
 			rebuild();
 		},
-		takeList(list) {
+		applyInstanceList(list) {
 			instanceList = list;
 			rebuild();
 		},
-		noteLeaving(id, leavesAt) {
+		applyLeavingNotice(id, leavesAt) {
 			leavingNotices.set(id, leavesAt);
 			rebuild();
 		},
-		takeReport(id, load) {
+		applyLoadReport(id, load) {
 			const entry = entries.get(id);
 			if (entry === undefined || (entry.view.report?.at ?? 0) > load.at) {
 				return;
@@ -265,7 +265,7 @@
 				...entry.view, report: load, sentSinceReport: entry.sentTimes.length, cacheTokens: Math.max(entry.view.cacheTokens, load.cachedTokens ?? 0),
 			};
 		},
-		takeCacheEvents(id, events) {
+		applyCacheEvents(id, events) {
 			if (!entries.has(id)) {
 				return;
 			}
@@ -301,14 +301,14 @@
 			};
 			metrics.running.inc();
 		},
-		noteRead(id, promptTokens) {
+		recordPromptProcessed(id, promptTokens) {
 			updateView(id, view => ({...view, pendingTokens: Math.max(0, view.pendingTokens - promptTokens)}));
 		},
 		end(id, isUrgent = false) {
 			updateView(id, view => ({...view, running: Math.max(0, view.running - 1), urgent: Math.max(0, view.urgent - (isUrgent ? 1 : 0))}));
 			metrics.running.dec();
 		},
-		learn(id, sample, chain) {
+		recordSpeedSample(id, sample, chain) {
 			const entry = entries.get(id);
 			if (entry === undefined) {
 				return;
@@ -325,7 +325,7 @@
 		},
 		list: () => [...entries.values()].map(entry => entry.view),
 		getView: id => entries.get(id)?.view,
-		countCached: (id, chain) => countCachedBlocks(prefixes, id, chain),
+		countCachedBlocks: (id, chain) => countCachedBlocks(prefixes, id, chain),
 		getLeavingSignal: id => entries.get(id)?.leaving.signal,
 		isLeaving: id => entries.get(id)?.view.isLeaving ?? true,
 		countServing(serviceId) {
@@ -338,7 +338,7 @@
 
 			return count;
 		},
-		countPlaces(serviceId) {
+		countSlots(serviceId) {
 			let slots = 0;
 			for (const {view} of entries.values()) {
 				slots += !view.isLeaving && view.services.includes(serviceId) ? view.limit : 0;
--- a/packages/tasks/src/claim-service.ts
+++ b/packages/tasks/src/claim-service.ts
@@ -23,7 +23,7 @@
 	/** Records the outcome, with retries until it is in the log or the retry window has passed. */
 	readonly recordOutcome: (claim: Claim, outcome: Outcome) => Promise<boolean>;
 	/** Resolves when no outcome is waiting to be recorded. */
-	readonly settle: () => Promise<void>;
+	readonly waitForPendingOutcomes: () => Promise<void>;
 	/** Handles a claim or lookup of a peer that regards this daemon as the writer or cannot reach the log. */
 	readonly answerPeer: (claim: Claim, isNew: boolean) => Promise<ClaimAnswer>;
 	/** Records an outcome for a peer. */
@@ -201,7 +201,7 @@
 				pendingOutcomes.delete(running);
 			}
 		},
-		async settle() {
+		async waitForPendingOutcomes() {
 			await Promise.allSettled(pendingOutcomes);
 		},
 		async answerPeer(claim, isNew) {
--- a/packages/tasks/src/configuration-task.ts
+++ b/packages/tasks/src/configuration-task.ts
@@ -18,7 +18,7 @@
 import {type AcceptedConfiguration, type ConfigurationOffer, type ConfigurationState} from '@shallotpass/core/configuration/types.js';
 import {followLog, readLimit, type LogEvent} from '@shallotpass/provider/follow-log.js';
 import {type Environment} from './environment.js';
-import {nothingInForce, putInForce, type InForce} from './in-force.js';
+import {noActiveConfigurations, activateConfiguration, type ActiveConfigurations} from './active-configurations.js';
 
 type Message =
 	| {readonly kind: 'log'; readonly event: LogEvent}
@@ -42,12 +42,12 @@
 };
 
 export type ConfigurationTask = {
-	readonly getInForce: () => InForce;
+	readonly getActiveConfigurations: () => ActiveConfigurations;
 	readonly getState: () => ConfigurationState;
 	readonly hasReadLog: () => boolean;
 	readonly isLogReachable: () => boolean;
 	/** Compares the versions of a peer with this daemon's and fetches newer ones from it. */
-	readonly takeVersions: (address: string, versions: Readonly<Record<string, number>>) => void;
+	readonly receiveVersions: (address: string, versions: Readonly<Record<string, number>>) => void;
 	/** Applies the configurations that a peer has accepted. */
 	readonly receiveOffer: (offer: ConfigurationOffer) => void;
 	/** Returns the configurations that this daemon has accepted, for a peer. */
@@ -57,7 +57,7 @@
 	/** Reads new log records at once, independently of the poll, which can hang on an unresponsive connection. */
 	readonly catchUp: () => Promise<void>;
 	/** Registers a listener that is called whenever a new version becomes active. */
-	readonly onInForce: (listener: (activeConfigurations: InForce) => void) => void;
+	readonly onActivated: (listener: (activeConfigurations: ActiveConfigurations) => void) => void;
 };
 
 type ConfigurationTaskOptions = {
@@ -68,11 +68,11 @@
 	/** Lists the addresses of a few peers to ask for their accepted configurations. */
 	readonly listPeerAddresses: () => readonly string[];
 	/** Returns the zero-based position of this daemon in the list of members. */
-	readonly getPlace: () => number;
+	readonly getMemberIndex: () => number;
 	/** Whether this daemon follows the log on behalf of its availability zone. The zone's other daemons learn of changes from it. */
 	readonly isZoneReader: () => boolean;
 	/** Announces a newly accepted version to some peers immediately. */
-	readonly spread: () => void;
+	readonly announceVersions: () => void;
 };
 
 /** How often daemons that are not zone readers poll the log, in case every zone reader fails or is misled. */
@@ -149,13 +149,13 @@
 	const {environment, log} = options;
 	const {clock, signal, metrics} = environment;
 	const logger = environment.makeLogger('configuration');
-	const listeners: Array<(activeConfigurations: InForce) => void> = [];
-	let activeConfigurations = nothingInForce;
+	const listeners: Array<(activeConfigurations: ActiveConfigurations) => void> = [];
+	let activeConfigurations = noActiveConfigurations;
 	let isLogReachable = true;
 	const pendingFetches = new Set<string>();
 
 	const activateAccepted = (accepted: AcceptedConfiguration): void => {
-		const result = putInForce(activeConfigurations, accepted, clock.now());
+		const result = activateConfiguration(activeConfigurations, accepted, clock.now());
 		if (result.kind === 'unreadable') {
 			metrics.configurationFailures.inc();
 			logger.error('configuration_unreadable', {team: accepted.team, version: accepted.version, mistakes: result.mistakes});
@@ -171,7 +171,7 @@
 			listener(activeConfigurations);
 		}
 
-		options.spread();
+		options.announceVersions();
 	};
 
 	const fetchOfferFrom = async (address: string): Promise<void> => {
@@ -249,7 +249,7 @@
 	const runRestatements = async (): Promise<void> => {
 		while (!signal.aborted) {
 			await waitQuietly(clock, addMilliseconds(clock.now(), restateIntervalMs), signal); // eslint-disable-line no-await-in-loop
-			task.send({kind: 'restate', place: options.getPlace()});
+			task.send({kind: 'restate', place: options.getMemberIndex()});
 		}
 	};
 
@@ -300,11 +300,11 @@
 	void follow();
 
 	return {
-		getInForce: () => activeConfigurations,
+		getActiveConfigurations: () => activeConfigurations,
 		getState: () => task.getState().configuration,
 		hasReadLog: () => task.getState().hasReadLog,
 		isLogReachable: () => isLogReachable,
-		takeVersions(address, versions) {
+		receiveVersions(address, versions) {
 			task.send({kind: 'versions', address, versions});
 		},
 		receiveOffer(offer) {
@@ -325,7 +325,7 @@
 				logger.debug('log_unreachable', {error});
 			}
 		},
-		onInForce(listener) {
+		onActivated(listener) {
 			listeners.push(listener);
 		},
 	};
--- a/packages/tasks/src/fleet-duty.ts
+++ b/packages/tasks/src/fleet-duty.ts
@@ -29,10 +29,10 @@
 };
 
 export type FleetTiming = {
-	readonly roundEveryMs: number;
+	readonly roundIntervalMs: number;
 	readonly leaseMs: number;
 	/** A started instance that has not appeared in the cloud's instance list within this time is considered gone. */
-	readonly shownWithinMs: number;
+	readonly listingTimeoutMs: number;
 	readonly firstRefusalWaitMs: number;
 	/** Time between announcing that an instance will end and ending it. */
 	readonly drainMs: number;
@@ -47,7 +47,7 @@
 	/** Identifies the daemon process, so that a restarted daemon does not inherit the lease. */
 	readonly holder: string;
 	/** Measures demand and capacity. The running cloud instances are passed in to distinguish them from other backend servers. */
-	readonly observe: (instances: readonly CloudInstance[]) => FleetDemand;
+	readonly measureDemand: (instances: readonly CloudInstance[]) => FleetDemand;
 	readonly timing: FleetTiming;
 	/** Notifies all daemons that a backend server takes no new calls and when it ends. Its calls finish or move before then. */
 	readonly announceEnd: (instanceId: string, leavesAt: Deadline) => void;
@@ -55,7 +55,7 @@
 
 export type FleetDuty = {
 	/** Runs one round: reads the log, takes or renews the lease, plans, and carries out the orders. */
-	readonly round: () => Promise<void>;
+	readonly runRound: () => Promise<void>;
 	readonly getState: () => FleetState;
 	/** Whether this process holds the lease, according to the records read so far. */
 	readonly isHolder: () => boolean;
@@ -64,11 +64,11 @@
 const readBatchSize = 500;
 
 export const defaultFleetTiming: FleetTiming = {
-	roundEveryMs: 2000, leaseMs: 15_000, shownWithinMs: 60_000, firstRefusalWaitMs: 10_000, drainMs: 30_000,
+	roundIntervalMs: 2000, leaseMs: 15_000, listingTimeoutMs: 60_000, firstRefusalWaitMs: 10_000, drainMs: 30_000,
 };
 
 export const makeFleetDuty = (options: FleetDutyOptions): FleetDuty => {
-	const {environment, log, cloud, plan, availabilityZone, holder, observe, timing, announceEnd} = options;
+	const {environment, log, cloud, plan, availabilityZone, holder, measureDemand: observe, timing, announceEnd} = options;
 	const {clock, signal, random} = environment;
 	const logger = environment.makeLogger('fleet');
 	/** When the cloud confirmed the start of an instance, by order token. */
@@ -143,7 +143,7 @@
 	/** Whether the instance of an order that is not running was started before and is gone, so that the order can be closed. */
 	const isInstanceGone = ({token}: FleetOrder): boolean => {
 		const startTime = startTimes.get(token);
-		return listedTokens.has(token) || (startTime !== undefined && clock.now() - startTime > timing.shownWithinMs);
+		return listedTokens.has(token) || (startTime !== undefined && clock.now() - startTime > timing.listingTimeoutMs);
 	};
 
 	const writeOrders = async (lease: FleetLease, changes: {readonly starts?: readonly Offer[]; readonly closed?: readonly string[]; readonly refusals?: readonly Refusal[]}): Promise<void> => {
@@ -252,7 +252,7 @@
 	};
 
 	return {
-		async round() {
+		async runRound() {
 			await readToEnd();
 			const lease = await renewOrTakeLease();
 			environment.metrics.fleetHolder.set(lease === undefined ? 0 : 1);
@@ -279,7 +279,7 @@
 		/* eslint-disable no-await-in-loop -- rounds run one at a time */
 		try {
 			if (isCandidate()) {
-				await duty.round();
+				await duty.runRound();
 			}
 		} catch (error) {
 			if (signal.aborted) {
@@ -289,7 +289,7 @@
 			logger.debug('round_failed', {error});
 		}
 
-		await waitQuietly(clock, addMilliseconds(clock.now(), options.timing.roundEveryMs * (0.75 + (random() / 2))), signal);
+		await waitQuietly(clock, addMilliseconds(clock.now(), options.timing.roundIntervalMs * (0.75 + (random() / 2))), signal);
 		/* eslint-enable no-await-in-loop */
 	}
 };
--- a/packages/tasks/src/load-reports.ts
+++ b/packages/tasks/src/load-reports.ts
@@ -64,7 +64,7 @@
 		}
 
 		try {
-			registry.takeReport(id, await readLoad(view.address, dispatcher, signal));
+			registry.applyLoadReport(id, await readLoad(view.address, dispatcher, signal));
 		} catch {
 			// Without a load report, routing relies on the calls that this daemon sent to the engine.
 		}
@@ -89,7 +89,7 @@
 				nextEventByAddress.delete(view.address);
 			}
 
-			registry.takeCacheEvents(id, events);
+			registry.applyCacheEvents(id, events);
 		} catch {
 			// Without cache events, the cache contents are estimated from the calls that this daemon sent to the engine.
 		}
--- a/packages/tasks/src/membership-task.ts
+++ b/packages/tasks/src/membership-task.ts
@@ -52,7 +52,7 @@
 	/** Probes a member on behalf of a peer that cannot reach it. */
 	readonly answerProbeFor: (id: string) => Promise<PeerResult<'probeFor'>>;
 	/** Adds addresses from the instance list, which are probed like the seeds. */
-	readonly noteAddresses: (addresses: readonly string[]) => void;
+	readonly addCandidateAddresses: (addresses: readonly string[]) => void;
 	readonly announceLeaving: () => void;
 	/** Starts probing. Call it only when this daemon listens at the address. */
 	readonly start: (address: string) => void;
@@ -64,7 +64,7 @@
 	/** Start time of this daemon's process. */
 	readonly epoch: number;
 	readonly makeVersionDigest: () => Record<string, number>;
-	readonly takeVersions: (address: string, versions: Readonly<Record<string, number>>) => void;
+	readonly receiveVersions: (address: string, versions: Readonly<Record<string, number>>) => void;
 };
 
 const indirectProbeCount = 3;
@@ -174,7 +174,7 @@
 			task.send({kind: 'replace', change: state => takeIntroduction(state, reply.introduction, clock.now(), membershipOptions)});
 			task.send({kind: 'updates', updates: reply.updates});
 			trackViewDifference(reply.view);
-			options.takeVersions(address, reply.versions);
+			options.receiveVersions(address, reply.versions);
 			return true;
 		} catch (error) {
 			logger.debug('probe_unanswered', {address, error});
@@ -258,7 +258,7 @@
 			task.send({kind: 'updates', updates});
 			const address = updates.find(update => update.id === from)?.address ?? sender?.address;
 			if (address !== undefined) {
-				options.takeVersions(address, versions);
+				options.receiveVersions(address, versions);
 			}
 
 			const introduction = sender === undefined || isWanted ? [...task.getState().members.values()].slice(0, maxIntroducedMembers) : [];
@@ -273,7 +273,7 @@
 			const target = task.getState().members.get(id);
 			return {isAlive: target !== undefined && await probe(target.address, target, probeEveryMs * directProbeShare)};
 		},
-		noteAddresses(addresses) {
+		addCandidateAddresses(addresses) {
 			for (const address of addresses) {
 				candidateAddresses.add(address);
 			}
--- a/packages/tasks/src/suspect-book.ts
+++ b/packages/tasks/src/suspect-registry.ts
@@ -11,7 +11,7 @@
 import {type BackendRegistry} from './backend-registry.js';
 import {type Environment} from './environment.js';
 
-export type SuspectBook = {
+export type SuspectRegistry = {
 	readonly get: (fingerprint: string) => Suspect | undefined;
 	readonly list: () => Suspect[];
 	/** Applies suspects and cleared fingerprints received from a peer. */
@@ -38,7 +38,7 @@
 	readonly environment: Environment;
 	readonly registry: BackendRegistry;
 	/** Sends changes to the peers without waiting for replies. */
-	readonly spread: (suspects: readonly Suspect[], lifted: readonly string[]) => void;
+	readonly broadcast: (suspects: readonly Suspect[], lifted: readonly string[]) => void;
 };
 
 /** Computes a digest of the request content. Resending the same request gives the same fingerprint. */
@@ -57,7 +57,7 @@
  */
 const waveDetectionMs = 150;
 
-export const makeSuspectBook = ({environment, registry, spread}: SuspectBookOptions): SuspectBook => {
+export const makeSuspectRegistry = ({environment, registry, broadcast: spread}: SuspectBookOptions): SuspectRegistry => {
 	const {clock, signal, metrics} = environment;
 	const logger = environment.makeLogger('suspects');
 	const runsByBackend = new Map<string, Set<SuspectRun>>();
--- a/scripts/measure/src/fleet/run-day.ts
+++ b/scripts/measure/src/fleet/run-day.ts
@@ -106,7 +106,7 @@
 const publish = (day: Day): void => {
 	day.listVersion++;
 	for (const {registry} of day.daemons) {
-		registry.takeList({version: day.listVersion, instances: [...day.listed.values()]});
+		registry.applyInstanceList({version: day.listVersion, instances: [...day.listed.values()]});
 	}
 };
 
@@ -145,7 +145,7 @@
 	for (const {id, getReport} of engines.values()) {
 		if (listed.has(id)) {
 			for (const {registry} of daemons) {
-				registry.takeReport(id, getReport());
+				registry.applyLoadReport(id, getReport());
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 
 const announceEnd = ({daemons}: Day, id: string, leavesAt: number): void => {
 	for (const {registry} of daemons) {
-		registry.noteLeaving(id, leavesAt);
+		registry.applyLeavingNotice(id, leavesAt);
 	}
 };
 
@@ -224,12 +224,12 @@
 		plan,
 		availabilityZone,
 		holder: `entry-${index}`,
-		observe: makeObserve(day, countOpen),
+		measureDemand: makeObserve(day, countOpen),
 		announceEnd(id: string, leavesAt: Deadline) {
 			announceEnd(day, id, leavesAt);
 		},
 		timing: {
-			roundEveryMs: roundMs, leaseMs: 5000, shownWithinMs: 20_000, firstRefusalWaitMs: 2000, drainMs: 3000,
+			roundIntervalMs: roundMs, leaseMs: 5000, listingTimeoutMs: 20_000, firstRefusalWaitMs: 2000, drainMs: 3000,
 		},
 	}));
 };
@@ -307,7 +307,7 @@
 	for (const [index, duty] of duties.entries()) {
 		clock.schedule(index * (roundMs / duties.length), () => {
 			repeat(day, roundMs, () => {
-				void duty.round();
+				void duty.runRound();
 			});
 		});
 	}
--- a/scripts/measure/src/membership-experiment.ts
+++ b/scripts/measure/src/membership-experiment.ts
@@ -128,7 +128,7 @@
 		client: socketClient ?? memory.client,
 		epoch: Date.now(),
 		makeVersionDigest: () => ({default: 1}),
-		takeVersions() {/* not measured here */},
+		receiveVersions() {/* not measured here */},
 	});
 	let server: PeerServer | undefined;
 	if (socketClient !== undefined) {
--- a/scripts/measure/src/routing/entry-daemon.ts
+++ b/scripts/measure/src/routing/entry-daemon.ts
@@ -10,7 +10,7 @@
 import {type BackendView, type LatencyTarget, type RoutingPolicy} from '@shallotpass/core/routing/types.js';
 import {makeBackendRegistry, type BackendRegistry} from '@shallotpass/tasks/backend-registry.js';
 import {type Environment} from '@shallotpass/tasks/environment.js';
-import {defaultTeam, nothingInForce, putInForce} from '@shallotpass/tasks/in-force.js';
+import {defaultTeam, noActiveConfigurations, activateConfiguration} from '@shallotpass/tasks/active-configurations.js';
 import {makeLogger} from '@shallotpass/telemetry/logger.js';
 import {makeMetrics} from '@shallotpass/telemetry/metrics.js';
 import {makeSettings} from '../local-fleet.js';
@@ -101,19 +101,19 @@
 		signal: makeQuietSignal(),
 	};
 	const registry = makeBackendRegistry({environment, policy});
-	const accepted = putInForce(nothingInForce, {
+	const accepted = activateConfiguration(noActiveConfigurations, {
 		team: defaultTeam, version: 0 as ConfigurationVersion, id: 'first', toml: makeConfigurationText(deployment), by: 'measure', at: 0,
 	}, 0);
 	if (accepted.kind === 'unreadable') {
 		throw new Error(accepted.mistakes.join('\n'));
 	}
 
-	registry.takeConfiguration(accepted.inForce);
-	const gate = makeAdmissionGate({environment, getCapacity: registry.countPlaces, countMembers: () => deployment.daemons});
+	registry.applyConfigurations(accepted.inForce);
+	const gate = makeAdmissionGate({environment, getCapacity: registry.countSlots, countMembers: () => deployment.daemons});
 
 	const enter = async (arrival: ChatArrival, target: ClassTarget): Promise<() => void> => {
 		const account = deployment.account.find(item => item.name === arrival.account)!;
-		return gate.enter({
+		return gate.admit({
 			id: arrival.id,
 			team: defaultTeam,
 			account: makeAccount(account),
@@ -140,22 +140,22 @@
 
 	const runAt = async (arrival: ChatArrival, target: ClassTarget, view: BackendView, tokens: number): Promise<RunOutcome> => {
 		const startedAt = clock.now();
-		const unread = Math.max(0, arrival.promptTokens - (registry.countCached(view.id, arrival.chain) * blockTokens));
+		const unread = Math.max(0, arrival.promptTokens - (registry.countCachedBlocks(view.id, arrival.chain) * blockTokens));
 		const isUrgent = target.firstTokenMs !== undefined;
 		registry.begin(view.id, {promptTokens: unread, isUrgent});
 		const outcome = await findEngine(view.id).run({
 			id: `${arrival.id}-${tokens}`, prompt: '', promptTokens: arrival.promptTokens, chain: arrival.chain, priority: target.rank, maxTokens: arrival.answerTokens, resumeAfter: tokens - 1,
 		}, () => {
-			registry.noteRead(view.id, unread);
+			registry.recordPromptProcessed(view.id, unread);
 		});
 		if (outcome.firstTokenAt === undefined) {
-			registry.noteRead(view.id, unread);
+			registry.recordPromptProcessed(view.id, unread);
 		}
 
 		registry.end(view.id, isUrgent);
 		if (outcome.isWhole && outcome.firstTokenAt !== undefined) {
 			const tokenMs = outcome.tokens > 1 ? (clock.now() - outcome.firstTokenAt) / (outcome.tokens - 1) : undefined;
-			registry.learn(view.id, {
+			registry.recordSpeedSample(view.id, {
 				firstTokenMs: outcome.firstTokenAt - startedAt,
 				tokenMs,
 				isLate: isLate(tokenMs, getTarget(target)),
@@ -209,7 +209,7 @@
 			registry.begin(view.id);
 			await runPlain(view.id);
 			registry.end(view.id);
-			registry.learn(view.id, {firstTokenMs: clock.now() - arrival.at, uncachedTokens: 0}, []);
+			registry.recordSpeedSample(view.id, {firstTokenMs: clock.now() - arrival.at, uncachedTokens: 0}, []);
 			return clock.now() - arrival.at;
 		},
 		async serve(arrival) {
--- a/scripts/measure/src/routing/run-deployment.ts
+++ b/scripts/measure/src/routing/run-deployment.ts
@@ -56,7 +56,7 @@
 const publishList = (world: World): void => {
 	world.listVersion++;
 	for (const {registry} of world.daemons) {
-		registry.takeList({version: world.listVersion, instances: [...world.instances.values()]});
+		registry.applyInstanceList({version: world.listVersion, instances: [...world.instances.values()]});
 	}
 };
 
@@ -94,7 +94,7 @@
 	const leavesAt = clock.now() + noticeMs;
 	for (const {id} of leaving) {
 		for (const {registry} of world.daemons) {
-			registry.noteLeaving(id, leavesAt);
+			registry.applyLeavingNotice(id, leavesAt);
 		}
 	}
 
@@ -125,7 +125,7 @@
 	for (const {registry} of world.daemons) {
 		const told = events.filter(() => world.random() >= lostEventShare);
 		clock.schedule(clock.now() + (world.random() * latestEventMs), () => {
-			registry.takeCacheEvents(id, told);
+			registry.applyCacheEvents(id, told);
 		});
 	}
 };
@@ -139,7 +139,7 @@
 		tellEvents(world, id, takeEvents());
 
 		for (const {registry} of world.daemons) {
-			registry.takeReport(id, getReport());
+			registry.applyLoadReport(id, getReport());
 		}
 	}
 
--- a/tests/src/backend-knowledge.test.ts
+++ b/tests/src/backend-knowledge.test.ts
@@ -24,7 +24,7 @@
 
 const makeRegistry = (environment: Environment, address = '127.0.0.1:1'): BackendRegistry => {
 	const registry = makeBackendRegistry({environment});
-	registry.takeList({
+	registry.applyInstanceList({
 		version: 1,
 		instances: [{
 			id: 'engine-1', address, role: 'backend', availabilityZone: 'zone-1', machineClass: 'a', state: 'live', services: ['assistant'],
@@ -34,7 +34,7 @@
 };
 
 const answer = (registry: BackendRegistry, tokenMs: number): void => {
-	registry.learn('engine-1', {
+	registry.recordSpeedSample('engine-1', {
 		firstTokenMs: 50, tokenMs, uncachedTokens: 0, isLate: tokenMs > 28,
 	}, []);
 };
@@ -49,7 +49,7 @@
 		registry.end('engine-1');
 	}
 
-	assert.equal(registry.countPlaces('assistant'), 64);
+	assert.equal(registry.countSlots('assistant'), 64);
 });
 
 test('an engine that is slowed by its load loses places', () => {
@@ -60,7 +60,7 @@
 	}
 
 	answer(registry, 45);
-	assert.equal(registry.countPlaces('assistant'), 34);
+	assert.equal(registry.countSlots('assistant'), 34);
 });
 
 test('an engine that restarted at its address is not taken to hold what it held before', async t => {
@@ -84,9 +84,9 @@
 	void runLoadReports({
 		environment, registry, dispatcher, isEngine: () => true, listZoneMembers: () => ['entry-1'],
 	});
-	const countHeld = (): number => registry.countCached('engine-1', [10n, 11n, 12n]);
+	const countHeld = (): number => registry.countCachedBlocks('engine-1', [10n, 11n, 12n]);
 	await waitFor('what is stored is known, and what was evicted not', () => countHeld() === 2);
 	events = [{seq: 0, kind: 'stored', blocks: ['f']}];
 	await waitFor('the old cache is forgotten', () => countHeld() === 0);
-	await waitFor('the new cache is known', () => registry.countCached('engine-1', [15n]) === 1);
+	await waitFor('the new cache is known', () => registry.countCachedBlocks('engine-1', [15n]) === 1);
 });
--- a/tests/src/fleet-duty.test.ts
+++ b/tests/src/fleet-duty.test.ts
@@ -79,9 +79,9 @@
 			announceEnd(instanceId) {
 				rig.announced.push(instanceId);
 			},
-			observe: () => ({offers, fixedPlaces: 0, demandPlaces: rig.demandPlaces}),
+			measureDemand: () => ({offers, fixedPlaces: 0, demandPlaces: rig.demandPlaces}),
 			timing: {
-				roundEveryMs: roundMs, leaseMs, shownWithinMs: 60_000, firstRefusalWaitMs: 10_000, drainMs: roundMs,
+				roundIntervalMs: roundMs, leaseMs, listingTimeoutMs: 60_000, firstRefusalWaitMs: 10_000, drainMs: roundMs,
 			},
 		});
 		duties.set(holder, duty);
@@ -99,7 +99,7 @@
 			for (let round = 0; round < rounds; round++) {
 				for (const [holder, duty] of duties) {
 					if (!without.includes(holder)) {
-						await duty.round().catch(() => {/* an outage; the next round tries again */}); // eslint-disable-line no-await-in-loop, promise/prefer-await-to-then -- one after the other
+						await duty.runRound().catch(() => {/* an outage; the next round tries again */}); // eslint-disable-line no-await-in-loop, promise/prefer-await-to-then -- one after the other
 					}
 				}
 
@@ -248,7 +248,7 @@
 	const rig = makeRig();
 	const other = rig.join('other-zone-1', 'zone-1');
 	const first = rig.duties.get('holder-zone-1')!;
-	await Promise.all([first.round(), other.round()]);
+	await Promise.all([first.runRound(), other.runRound()]);
 	assert.deepEqual([first.isHolder(), other.isHolder()].filter(Boolean), [true]);
 	await rig.run(8);
 	assert.equal(rig.countServing(), wanted);
