--- a/packages/gateway/src/leader/deliver-duties.ts
+++ b/packages/gateway/src/leader/deliver-duties.ts
@@ -1,4 +1,4 @@
-/** Says to the cloud what stands in the lease's record: reports of usage and orders of backend servers. */
+/** Sends the usage reports and backend server orders that are stored in the lease record to the cloud API. */
 import {type BackendOrder, getFence, withReport} from '@shallotpass/core/duties/fold-lease.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type FieldsOf} from '../telemetry/log-events.js';
@@ -7,43 +7,43 @@
 
 const cloudTimeoutMs = 600;
 
-/** Orders are said again after this time while the backend servers have not come. */
-const repeatOrderMs = 6500;
+/** An order is sent again after this time if the ordered backend servers have not appeared. */
+const resendOrderAfterMs = 6500;
 
-/** Pause after a call that the cloud did not take. */
-const cloudPauseMs = 800;
+/** Delay before the next order after a failed call to the cloud API. */
+const cloudRetryDelayMs = 800;
 
-export type DeliveryOptions = {
+export type DutyDeliveryOptions = {
 	readonly gateway: GatewayState;
 	readonly platform: Platform;
 	readonly record: LeaseRecord;
-	/** Called at each answer of the cloud, also one that says no. */
+	/** Called on each response of the cloud API, including refusals. */
 	readonly onCloudAnswer: () => void;
-	readonly onAcceptedOrder: (order: BackendOrder) => void;
-	readonly onRefusedOrder: (order: BackendOrder) => void;
-	/** Whether what was ordered has come. */
+	readonly onOrderAccepted: (order: BackendOrder) => void;
+	readonly onOrderRefused: (order: BackendOrder) => void;
+	/** Whether the ordered number of backend servers is present. */
 	readonly isFulfilled: (order: BackendOrder) => boolean;
 	readonly signal: AbortSignal;
 };
 
-export type Delivery = {
-	/** Says what has not been said under the present lease. */
+export type DutyDelivery = {
+	/** Sends the reports and orders that were not yet delivered under the current lease. */
 	readonly deliver: () => Promise<void>;
-	/** Forgets what was said: the next holder says it all again. */
-	readonly forget: () => void;
+	/** Clears the delivery state when the lease is lost, so that everything is sent again under the next lease. */
+	readonly reset: () => void;
 };
 
-/** Names what an order is for: a later one for the same takes its place. */
+/** Key of an order. A later order with the same key replaces it. */
 export const toOrderKey = (order: BackendOrder): string => `${order.service}/${order.availabilityZone}/${order.isReclaimable}`;
 
-export const openDelivery = (options: DeliveryOptions): Delivery => {
+export const makeDutyDelivery = (options: DutyDeliveryOptions): DutyDelivery => {
 	const {gateway, platform, record, signal} = options;
-	let pausedUntil = 0;
-	/** Orders that were said under the present lease, and when. */
-	const said = new Map<string, {count: number; at: number}>();
+	let ordersPausedUntil = 0;
+	/** Orders accepted by the cloud under the current lease, by key, with the time of acceptance. */
+	const acceptedOrders = new Map<string, {count: number; at: number}>();
 	const now = (): number => gateway.clocks.steady();
 
-	const noteCloud = <Duty extends 'usage_report' | 'backend_order'>(duty: Duty, reply: CloudReply, fields: FieldsOf<Duty>): void => {
+	const recordCloudReply = <Duty extends 'usage_report' | 'backend_order'>(duty: Duty, reply: CloudReply, fields: FieldsOf<Duty>): void => {
 		const outcome = reply.kind === 'failed' ? reply.reason : reply.kind;
 		if (reply.kind !== 'failed') {
 			options.onCloudAnswer();
@@ -53,7 +53,7 @@
 		gateway.log.write(reply.kind === 'done' ? 'state' : 'failure', duty, {...fields, outcome});
 	};
 
-	/** Undefined when the lease may not be acted on any more. */
+	/** Returns undefined when the lease is not held or may have expired. */
 	const getAuthority = (): DutyAuthority | undefined => {
 		const held = record.getHeld();
 		return held !== undefined && record.canAct() ? {holder: gateway.settings.instance.id, fence: getFence(held.stored)} : undefined;
@@ -66,57 +66,57 @@
 				continue;
 			}
 
-			// eslint-disable-next-line no-await-in-loop -- one call after the other, each under a lease that still stands
+			// eslint-disable-next-line no-await-in-loop -- sequential: the lease is checked before each call
 			const reply = await platform.cloud.reportUsage(authority, report.window, report.counts, {timeoutMs: cloudTimeoutMs, signal});
-			noteCloud('usage_report', reply, {window: report.window, counts: report.counts, fence: authority.fence});
+			recordCloudReply('usage_report', reply, {window: report.window, counts: report.counts, fence: authority.fence});
 			const held = record.getHeld();
 			if (reply.kind === 'done' && held) {
-				record.note(withReport(held.stored.lease, {...report, isDelivered: true}));
+				record.setHeldLease(withReport(held.stored.lease, {...report, isDelivered: true}));
 			}
 		}
 	};
 
-	const isSaid = (order: BackendOrder): boolean => {
-		const before = said.get(toOrderKey(order));
-		return before?.count === order.count && (options.isFulfilled(order) || now() < before.at + repeatOrderMs);
+	const isAlreadyPlaced = (order: BackendOrder): boolean => {
+		const accepted = acceptedOrders.get(toOrderKey(order));
+		return accepted?.count === order.count && (options.isFulfilled(order) || now() < accepted.at + resendOrderAfterMs);
 	};
 
 	const deliverOrders = async (): Promise<void> => {
 		for (const order of record.getHeld()?.stored.lease.orders ?? []) {
 			const authority = getAuthority();
-			if (isSaid(order) || authority === undefined) {
+			if (isAlreadyPlaced(order) || authority === undefined) {
 				continue;
 			}
 
-			// eslint-disable-next-line no-await-in-loop -- one call after the other, each under a lease that still stands
+			// eslint-disable-next-line no-await-in-loop -- sequential: the lease is checked before each call
 			const reply = await platform.cloud.orderBackends(authority, order, {timeoutMs: cloudTimeoutMs, signal});
-			noteCloud('backend_order', reply, {...order, fence: authority.fence});
+			recordCloudReply('backend_order', reply, {...order, fence: authority.fence});
 			if (reply.kind === 'failed') {
-				// The cloud is away or busy: what follows would fail as well, and each call is paid for.
-				pausedUntil = now() + cloudPauseMs;
+				// The cloud API is unavailable or overloaded. Further calls would fail as well, and each call is billed.
+				ordersPausedUntil = now() + cloudRetryDelayMs;
 				return;
 			}
 
 			if (reply.kind === 'none_offered') {
-				// What was accepted before still stands, and is not said again.
-				options.onRefusedOrder(order);
+				// The order accepted earlier remains in effect and is not sent again.
+				options.onOrderRefused(order);
 				continue;
 			}
 
-			said.set(toOrderKey(order), {count: order.count, at: now()});
-			options.onAcceptedOrder(order);
+			acceptedOrders.set(toOrderKey(order), {count: order.count, at: now()});
+			options.onOrderAccepted(order);
 		}
 	};
 
 	return {
 		async deliver() {
 			await deliverReports();
-			if (now() >= pausedUntil) {
+			if (now() >= ordersPausedUntil) {
 				await deliverOrders();
 			}
 		},
-		forget() {
-			said.clear();
+		reset() {
+			acceptedOrders.clear();
 		},
 	};
 };
--- a/packages/gateway/src/leader/gather-duties.ts
+++ b/packages/gateway/src/leader/gather-duties.ts
@@ -1,4 +1,4 @@
-/** What the holder of the duties writes down of all daemons, out of the reports it heard. */
+/** Collects the usage and spending of all daemons for the lease record, from the reports of the peers. */
 import {type Lease} from '@shallotpass/core/duties/fold-lease.js';
 import {readDemand} from '@shallotpass/core/quotas/account-bucket.js';
 import {computeMostUsable} from '@shallotpass/core/quotas/compute-ceiling.js';
@@ -6,11 +6,14 @@
 import {mergeUsage, type UsageTable} from '@shallotpass/core/usage/count-starts.js';
 import {type GatewayState} from '../gateway-state.js';
 
-/** Milliseconds between a call and its place in the record: the reports, 0.3 s, and the renewal, 0.9 s. What may be spent in that time is written in advance. */
-const unwrittenMs = 1200;
+/**
+ * Longest delay between a call and the record that includes it: 0.3 s for the peer reports and 0.9 s for the renewal of the lease.
+ * The record includes in advance what accounts may spend during this time.
+ */
+const recordDelayMs = 1200;
 
-/** What all daemons counted, as far as this one knows; those that ended since are in the lease's record. */
-export const listUsage = (gateway: GatewayState): UsageTable => {
+/** Usage counted by this daemon and its known peers. The lease record holds the counts of daemons that have ended. */
+export const collectUsage = (gateway: GatewayState): UsageTable => {
 	let table: UsageTable = Object.fromEntries([...gateway.usage].map(([window, counts]) => [window, {[gateway.incarnation]: counts}]));
 	for (const {usage} of gateway.peers.values()) {
 		table = mergeUsage(table, usage);
@@ -19,8 +22,11 @@
 	return table;
 };
 
-/** What accounts spent within the window of their limits, over all daemons, as of the moment until which a record that is written now may be the last. */
-export const sumSpent = (gateway: GatewayState): Lease['spent'] => {
+/**
+ * Spending of each account over all daemons within the quota window, projected to the time when a record written now may be
+ * replaced by the next one.
+ */
+export const projectSpending = (gateway: GatewayState): Lease['spent'] => {
 	const now = gateway.clocks.steady();
 	const accounts: Record<string, number[]> = {};
 	const own = Object.fromEntries([...gateway.spending].map(([account, spending]) => [account, readSpentSlots(spending, now).map(cost => Math.round(cost))]));
@@ -31,11 +37,11 @@
 	}
 
 	const demands = new Map<string, number>();
-	const rounds = [
+	const accountDemands = [
 		...[...gateway.buckets].map(([account, bucket]) => [account, readDemand(bucket, now)] as const),
 		...[...gateway.peers.values()].flatMap(peer => Object.entries(peer.demands)),
 	];
-	for (const [account, demand] of rounds) {
+	for (const [account, demand] of accountDemands) {
 		demands.set(account, (demands.get(account) ?? 0) + demand);
 	}
 
@@ -44,10 +50,10 @@
 		const slots = accounts[name];
 		if (limit !== undefined && slots !== undefined) {
 			accounts[name] = predictSlots({
-				slots, demand: demands.get(name) ?? 0, usable: computeMostUsable(limit, bounds), aheadMs: unwrittenMs, windowMs: bounds.quotaWindowMs,
+				slots, demand: demands.get(name) ?? 0, usable: computeMostUsable(limit, bounds), aheadMs: recordDelayMs, windowMs: bounds.quotaWindowMs,
 			}).map(cost => Math.round(cost));
 		}
 	}
 
-	return {at: Math.round(gateway.clocks.trueTime() + unwrittenMs), accounts};
+	return {at: Math.round(gateway.clocks.trueTime() + recordDelayMs), accounts};
 };
--- a/packages/gateway/src/leader/leader-task.ts
+++ b/packages/gateway/src/leader/leader-task.ts
@@ -1,7 +1,7 @@
 /**
- * Holds the lease of the duties, and does them while it holds it: usage reports and orders of
- * backend servers. All that is said to the cloud is written into the lease's record first, so
- * that a successor says the very same.
+ * Acquires and renews the leader lease, and performs the leader's duties while holding it: usage
+ * reports and backend server orders. Each report and order is stored in the lease record before it
+ * is sent to the cloud API, so that a successor sends the same values.
  */
 import {
 	type BackendOrder, getFence, isLeaseFree, type Lease, type LeaseSeeker, type LeaseWatch, listDueWindows, mayTakeLease, nobody, watchLease, withReport,
@@ -12,30 +12,30 @@
 } from '@shallotpass/core/usage/count-starts.js';
 import {pauseFor} from '../pause.js';
 import {
-	type Delivery, type DeliveryOptions, openDelivery, toOrderKey,
+	type DutyDelivery, type DutyDeliveryOptions, makeDutyDelivery, toOrderKey,
 } from './deliver-duties.js';
-import {listUsage, sumSpent} from './gather-duties.js';
-import {type HeldLease, type LeaseRecord, openLeaseRecord} from './lease-record.js';
+import {collectUsage, projectSpending} from './gather-duties.js';
+import {type HeldLease, type LeaseRecord, makeLeaseRecord} from './lease-record.js';
 
 const tickMs = 250;
 
-/** Between two renewals; three of them fit into the lease. */
-const renewEveryMs = 900;
+/** Interval between renewals. Three of them fit into the lease. */
+const renewIntervalMs = 900;
 
-/** Longest time that callers wait for what accounts have spent, and between two readings of it. */
-const spendingPatienceMs = 1500;
-const spendingPauseMs = 100;
+/** Longest time that callers wait until the spending of accounts is loaded, and the delay between attempts to read it. */
+const spendingTimeoutMs = 1500;
+const spendingPollMs = 100;
 
-/** At the first start of all a holder is heard within this time, in milliseconds; callers come later. */
-const firstHolderPatienceMs = 4000;
+/** When all daemons start for the first time, a peer reports the lease within this time. Callers arrive later. */
+const firstHolderTimeoutMs = 4000;
 
-/** A window is reported this long after its end, in milliseconds: when the reports of all daemons have come, also through two relays. */
-const reportAfterMs = 2600;
+/** Delay between the end of a usage window and its report, so that the reports of all daemons arrive, including those that pass two relays. */
+const reportDelayMs = 2600;
 
-/** A holder that was silent for so long is looked for in the store, in milliseconds: reports come three times a second. */
-const holderSilentMs = 1200;
+/** After this time without a report from a lease holder, the lease is read from the store. Reports arrive three times a second. */
+const holderTimeoutMs = 1200;
 
-const emptyDuties: Pick<Lease, 'reports' | 'orders' | 'counted' | 'spent'> = {
+const emptyLeaseData: Pick<Lease, 'reports' | 'orders' | 'counted' | 'spent'> = {
 	reports: [], orders: [], counted: {}, spent: {at: 0, accounts: {}},
 };
 
@@ -44,37 +44,37 @@
 	return left.length === right.length && right.every(order => counts.get(toOrderKey(order)) === order.count);
 };
 
-export type DutyOptions = Omit<DeliveryOptions, 'record'> & {
-	/** Who looks for the lease first when nobody is heard to hold it. */
+export type LeaderTaskOptions = Omit<DutyDeliveryOptions, 'record'> & {
+	/** Determines which daemon tries first to acquire the lease when no peer reports holding it. */
 	readonly getStoreRole: () => StoreRole;
-	/** The orders that are wanted now. */
+	/** Returns the orders that should be in effect now. */
 	readonly planOrders: () => readonly BackendOrder[];
 };
 
 export type LeaderTask = {
-	/** Offset of the lease's record that this daemon holds, or -1. */
+	/** Offset of the lease record if this daemon holds the lease, otherwise -1. */
 	readonly getLeaseOffset: () => number;
 };
 
-export const startLeaderTask = (options: DutyOptions): LeaderTask => {
+export const startLeaderTask = (options: LeaderTaskOptions): LeaderTask => {
 	const {gateway, platform, signal} = options;
 	const {steady, countDisagreements} = gateway.clocks;
 	const {instance, listen} = gateway.settings;
-	const seeker: LeaseSeeker = {holder: instance.id, holderAddress: listen.peers, incarnation: gateway.incarnation};
-	/** The newest record that was read or heard of. */
+	const candidate: LeaseSeeker = {holder: instance.id, holderAddress: listen.peers, incarnation: gateway.incarnation};
+	/** The newest lease record that was read from the store or reported by a peer. */
 	let watch: LeaseWatch | undefined;
-	/** When a holder was heard last, and when the record was read last without one. */
+	/** Times of the last report from a lease holder and of the last read of the lease record without one. */
 	let holderHeardAt = gateway.startedAt;
-	let soughtAt = Number.NEGATIVE_INFINITY;
-	const record: LeaseRecord = openLeaseRecord({
+	let leaseReadAt = Number.NEGATIVE_INFINITY;
+	const record: LeaseRecord = makeLeaseRecord({
 		gateway, platform, signal, onLost() {
-			delivery.forget();
+			delivery.reset();
 		},
 	});
-	const delivery: Delivery = openDelivery({...options, record});
+	const delivery: DutyDelivery = makeDutyDelivery({...options, record});
 
-	/** Whether the record stands; one of another daemon is watched from now on. */
-	const write = async (lease: Lease): Promise<boolean> => {
+	/** Returns whether the record was stored. If another daemon's record was found instead, its expiry is tracked from now on. */
+	const writeLease = async (lease: Lease): Promise<boolean> => {
 		const result = await record.write(lease);
 		if (result.kind === 'taken') {
 			watch = result.offset === undefined ? undefined : watchLease(watch, {offset: result.offset, disagreements: countDisagreements()}, steady());
@@ -85,9 +85,9 @@
 
 	const planLease = (lease: Lease): Lease => {
 		const now = gateway.clocks.trueTime();
-		const current = getWindow(now - reportAfterMs, gateway.settings.bounds.usageWindowMs);
+		const current = getWindow(now - reportDelayMs, gateway.settings.bounds.usageWindowMs);
 		const oldest = getWindow(now - gateway.settings.bounds.usageLateMs - gateway.settings.bounds.usageWindowMs, gateway.settings.bounds.usageWindowMs);
-		const counted = mergeUsage(lease.counted, listUsage(gateway));
+		const counted = mergeUsage(lease.counted, collectUsage(gateway));
 		let next = lease;
 		for (const window of listDueWindows(lease, current, oldest)) {
 			next = withReport(next, {window, counts: sumWindow(counted[String(window)] ?? {}), isDelivered: false});
@@ -97,41 +97,41 @@
 		return hasSameOrders(next.orders, orders) ? next : {...next, orders};
 	};
 
-	const giveUp = async (held: HeldLease): Promise<void> => {
-		// A successor need not wait for the lease to lapse.
+	const releaseLease = async (held: HeldLease): Promise<void> => {
+		// A successor can take the lease without waiting for it to expire.
 		const {lease} = held.stored;
-		await write({
-			...lease, incarnation: nobody, counted: mergeUsage(lease.counted, listUsage(gateway)), spent: sumSpent(gateway),
+		await writeLease({
+			...lease, incarnation: nobody, counted: mergeUsage(lease.counted, collectUsage(gateway)), spent: projectSpending(gateway),
 		});
-		record.lose('the daemon is leaving');
+		record.markLost('the daemon is draining');
 	};
 
 	const renew = async (held: HeldLease): Promise<boolean> => {
 		const planned = planLease(held.stored.lease);
-		if (planned === held.stored.lease && steady() < held.renewedAt + renewEveryMs) {
+		if (planned === held.stored.lease && steady() < held.renewedAt + renewIntervalMs) {
 			return true;
 		}
 
-		const last = planned.reports.at(-1)?.window ?? -1;
-		return write({
+		const lastReportedWindow = planned.reports.at(-1)?.window ?? -1;
+		return writeLease({
 			...planned,
-			...seeker,
+			...candidate,
 			fence: getFence(held.stored),
-			counted: dropEarlierWindows(mergeUsage(planned.counted, listUsage(gateway)), last + 1),
-			spent: sumSpent(gateway),
+			counted: dropEarlierWindows(mergeUsage(planned.counted, collectUsage(gateway)), lastReportedWindow + 1),
+			spent: projectSpending(gateway),
 		});
 	};
 
-	const hold = async (held: HeldLease): Promise<void> => {
+	const maintainLease = async (held: HeldLease): Promise<void> => {
 		if (!record.canAct()) {
-			// The instance may have been suspended, and another daemon may have taken over meanwhile.
-			// Only the store knows; a lease that is not provably held is given up.
-			record.lose(held.disagreements === countDisagreements() ? 'not renewed in time' : 'the clocks disagree');
+			// The instance may have been suspended while another daemon took over, which only the store can tell.
+			// A lease that cannot be proven valid is treated as lost.
+			record.markLost(held.disagreements === countDisagreements() ? 'not renewed in time' : 'steady clock and time of day disagree');
 			return;
 		}
 
 		if (gateway.drainingSince !== undefined) {
-			await giveUp(held);
+			await releaseLease(held);
 			return;
 		}
 
@@ -140,9 +140,9 @@
 		}
 	};
 
-	/** Whether a holder was heard lately. What it told is watched at once: the lease lapses from then on, not from when the holder is missed. */
+	/** Whether a peer recently reported holding the lease. Expiry is counted from that report, not from the time when reports stop. */
 	const isHolderHeard = (): boolean => {
-		const since = steady() - holderSilentMs;
+		const since = steady() - holderTimeoutMs;
 		const offsets = [...gateway.peers.values()].filter(peer => peer.heardAt >= since).map(peer => peer.leaseOffset);
 		const offset = Math.max(-1, ...offsets);
 		if (offset >= 0) {
@@ -153,20 +153,20 @@
 		return offset >= 0;
 	};
 
-	const mayTake = (): boolean => watch !== undefined && mayTakeLease(watch, gateway.settings.bounds.leaseMs, steady());
+	const isLeaseExpired = (): boolean => watch !== undefined && mayTakeLease(watch, gateway.settings.bounds.leaseMs, steady());
 
-	/** Whether the record is worth a look: nobody is heard to hold the lease, and it was not just seen to be held. */
-	const isWorthSeeking = (): boolean => {
+	/** Whether to read the lease record: no peer reports holding the lease, and the record was not read since the last such report or has expired. */
+	const shouldReadLease = (): boolean => {
 		if (isHolderHeard() || gateway.drainingSince !== undefined || gateway.configuration === undefined) {
 			return false;
 		}
 
 		const isDue = steady() >= holderHeardAt + getSeekDelay(options.getStoreRole());
-		return isDue && (soughtAt < holderHeardAt || mayTake());
+		return isDue && (leaseReadAt < holderHeardAt || isLeaseExpired());
 	};
 
-	const seek = async (): Promise<void> => {
-		if (!isWorthSeeking()) {
+	const tryAcquireLease = async (): Promise<void> => {
+		if (!shouldReadLease()) {
 			return;
 		}
 
@@ -175,23 +175,23 @@
 			return;
 		}
 
-		soughtAt = steady();
-		const standing = reading.kind === 'stands' ? reading.stored : undefined;
-		if (standing !== undefined) {
-			watch = watchLease(watch, {offset: standing.offset, disagreements: countDisagreements()}, steady());
+		leaseReadAt = steady();
+		const stored = reading.kind === 'stands' ? reading.stored : undefined;
+		if (stored !== undefined) {
+			watch = watchLease(watch, {offset: stored.offset, disagreements: countDisagreements()}, steady());
 		}
 
-		const isFree = standing === undefined || isLeaseFree(standing.lease, seeker);
-		if (!isFree && !mayTake()) {
+		const isFree = stored === undefined || isLeaseFree(stored.lease, candidate);
+		if (!isFree && !isLeaseExpired()) {
 			return;
 		}
 
-		const isTaken = await write({
-			...(standing?.lease ?? emptyDuties), ...seeker, fence: -1,
+		const isWritten = await writeLease({
+			...(stored?.lease ?? emptyLeaseData), ...candidate, fence: -1,
 		});
 		const held = record.getHeld();
-		if (isTaken && held) {
-			gateway.log.write('state', 'lease_taken', {fence: getFence(held.stored), before: standing?.lease.holder});
+		if (isWritten && held) {
+			gateway.log.write('state', 'lease_taken', {fence: getFence(held.stored), before: stored?.lease.holder});
 		}
 	};
 
@@ -200,40 +200,40 @@
 			const held = record.getHeld();
 			const nextAt = steady() + (tickMs * (1 + (held === undefined ? gateway.random() : 0)));
 			try {
-				// eslint-disable-next-line no-await-in-loop -- one tick after the other
-				await (held ? hold(held) : seek());
+				// eslint-disable-next-line no-await-in-loop -- ticks are sequential
+				await (held ? maintainLease(held) : tryAcquireLease());
 			} catch (error) {
 				gateway.log.write('failure', 'duty_failed', {error: error instanceof Error ? error.stack : String(error)});
 			}
 
-			// eslint-disable-next-line no-await-in-loop -- one tick after the other
+			// eslint-disable-next-line no-await-in-loop -- ticks are sequential
 			await pauseFor(Math.max(10, nextAt - steady()), signal);
 		}
 	};
 
 	/**
-	 * At the first start of all nothing was spent, and the holder tells so. Else all daemons may have ended
-	 * a second ago, and an account near its limit would get all of it anew.
+	 * When all daemons start for the first time, nothing has been spent, and the presence of a lease holder confirms that.
+	 * Otherwise all daemons may have restarted at once, and an account near its limit would get its whole limit again.
 	 */
-	const isKnownBySelf = (): boolean => record.getHeld() !== undefined || isHolderHeard();
+	const isHolderKnown = (): boolean => record.getHeld() !== undefined || isHolderHeard();
 
 	const waitForFirstHolder = async (): Promise<void> => {
-		const giveUpAt = gateway.startedAt + firstHolderPatienceMs;
-		while (!isKnownBySelf() && steady() < giveUpAt && !signal.aborted) {
-			await pauseFor(spendingPauseMs, signal); // eslint-disable-line no-await-in-loop -- a poll
+		const giveUpAt = gateway.startedAt + firstHolderTimeoutMs;
+		while (!isHolderKnown() && steady() < giveUpAt && !signal.aborted) {
+			await pauseFor(spendingPollMs, signal); // eslint-disable-line no-await-in-loop -- a poll
 		}
 	};
 
-	/** Callers wait until it is known what accounts have spent; a store that is away does not hold them up for longer. */
-	const readSpending = async (): Promise<void> => {
+	/** Loads what accounts have spent. Callers wait for this, but no longer than the timeout if the store is unavailable. */
+	const loadSpending = async (): Promise<void> => {
 		if (gateway.settings.instance.firstStart) {
 			await waitForFirstHolder();
-			gateway.hasSpending = isKnownBySelf();
+			gateway.hasSpending = isHolderKnown();
 		}
 
-		const giveUpAt = steady() + spendingPatienceMs;
+		const giveUpAt = steady() + spendingTimeoutMs;
 		while (!gateway.hasSpending && !signal.aborted) {
-			// eslint-disable-next-line no-await-in-loop -- one reading after the other
+			// eslint-disable-next-line no-await-in-loop -- reads are sequential
 			const reading = await record.read();
 			const isKnown = reading.kind !== 'unknown' || isHolderHeard();
 			gateway.hasSpending = isKnown || steady() >= giveUpAt;
@@ -242,11 +242,11 @@
 				return;
 			}
 
-			await pauseFor(spendingPauseMs, signal); // eslint-disable-line no-await-in-loop
+			await pauseFor(spendingPollMs, signal); // eslint-disable-line no-await-in-loop
 		}
 	};
 
-	void readSpending();
+	void loadSpending();
 	void run();
 	return {getLeaseOffset: () => record.getHeld()?.stored.offset ?? -1};
 };
--- a/packages/gateway/src/leader/lease-record.ts
+++ b/packages/gateway/src/leader/lease-record.ts
@@ -1,6 +1,6 @@
 /**
- * The lease of the duties as a record of the platform's store: read, written on the condition
- * that nobody wrote since, and held for as long as it provably stands.
+ * The leader lease as a record in the platform's store. Writes are conditional on no other daemon
+ * having written since the last read, and the lease counts as held only while it is provably valid.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -9,42 +9,42 @@
 import {type GatewayState} from '../gateway-state.js';
 import {type Platform} from '../ports.js';
 
-/** The store answers an append in 4 ms; a later answer counts as lost and the record is read again. */
+/** The store answers an append in 4 ms. After this timeout the response counts as lost and the record is read again. */
 const storeTimeoutMs = 500;
 
 const leaseKey = 'lease';
 
 export type HeldLease = {
 	stored: StoredLease;
-	/** When the record that stands was sent, on the steady clock. */
+	/** When the current record was sent, on the steady clock. */
 	readonly renewedAt: number;
-	/** Disagreements of the clocks when it was sent; one more means that the lease may have lapsed unseen. */
+	/** Number of clock disagreements when it was sent. A higher number later means that the lease may have expired unnoticed. */
 	readonly disagreements: number;
 };
 
-export type LeaseReading =
+export type LeaseReadResult =
 	| {readonly kind: 'stands'; readonly stored: StoredLease}
 	| {readonly kind: 'none'}
 	/** The store does not answer. */
 	| {readonly kind: 'unknown'};
 
-export type LeaseWriting =
+export type LeaseWriteResult =
 	| {readonly kind: 'stands'}
-	/** Nothing is known of the record; it is read again at the next try. */
+	/** It is unknown whether the record was stored. It is read again on the next attempt. */
 	| {readonly kind: 'unknown'}
-	/** Another daemon's record stands; its offset. */
+	/** The store holds a record of another daemon at this offset. */
 	| {readonly kind: 'taken'; readonly offset: number | undefined};
 
 export type LeaseRecord = {
 	readonly getHeld: () => HeldLease | undefined;
-	/** Whether what is held may be acted on now. */
+	/** Whether this daemon holds a lease that is still valid now. */
 	readonly canAct: () => boolean;
-	readonly read: () => Promise<LeaseReading>;
-	/** Appends the record if nobody has appended since the last reading. */
-	readonly write: (lease: Lease) => Promise<LeaseWriting>;
-	/** Notes in the record that is held what the next writing takes with it. */
-	readonly note: (lease: Lease) => void;
-	readonly lose: (reason: string) => void;
+	readonly read: () => Promise<LeaseReadResult>;
+	/** Appends the record if no other record was appended since the last read. */
+	readonly write: (lease: Lease) => Promise<LeaseWriteResult>;
+	/** Updates the held record in memory. The next write stores it. */
+	readonly setHeldLease: (lease: Lease) => void;
+	readonly markLost: (reason: string) => void;
 };
 
 export type LeaseRecordOptions = {
@@ -54,23 +54,23 @@
 	readonly signal: AbortSignal;
 };
 
-export const openLeaseRecord = ({gateway, platform, onLost, signal}: LeaseRecordOptions): LeaseRecord => {
+export const makeLeaseRecord = ({gateway, platform, onLost, signal}: LeaseRecordOptions): LeaseRecord => {
 	let held: HeldLease | undefined;
-	/** End of the topic as last read: the condition of the next append. */
+	/** End offset of the topic as last read, the condition of the next append. */
 	let end = 0;
 	const {steady, countDisagreements} = gateway.clocks;
 
 	/**
-	 * After all daemons ended at once nobody remembers what accounts spent, and their limits would
-	 * begin anew. The record remembers.
+	 * Takes over the spending of accounts from the record. After a restart of all daemons at once no daemon
+	 * has it in memory, and every account would get its whole limit again.
 	 */
-	const inheritSpent = (lease: Lease): void => {
+	const inheritSpending = (lease: Lease): void => {
 		if (lease.incarnation !== gateway.incarnation) {
 			gateway.inherited = {spent: lease.spent.accounts, at: lease.spent.at};
 		}
 	};
 
-	const read = async (): Promise<LeaseReading> => {
+	const read = async (): Promise<LeaseReadResult> => {
 		const listing = await platform.store.readNewest('lease', {timeoutMs: storeTimeoutMs, signal});
 		if (listing.kind === 'failed') {
 			return {kind: 'unknown'};
@@ -87,11 +87,11 @@
 			return {kind: 'none'};
 		}
 
-		inheritSpent(lease.data);
+		inheritSpending(lease.data);
 		return {kind: 'stands', stored: {lease: lease.data, offset: record.offset}};
 	};
 
-	const lose = (reason: string): void => {
+	const markLost = (reason: string): void => {
 		if (held) {
 			gateway.log.write('state', 'lease_lost', {reason, fence: getFence(held.stored), offset: held.stored.offset});
 		}
@@ -100,7 +100,7 @@
 		onLost();
 	};
 
-	const write = async (lease: Lease): Promise<LeaseWriting> => {
+	const write = async (lease: Lease): Promise<LeaseWriteResult> => {
 		const sentAt = steady();
 		const disagreements = countDisagreements();
 		const reply = await platform.store.append('lease', {key: leaseKey, value: Buffer.from(JSON.stringify(lease))}, {expectedEnd: end, timeoutMs: storeTimeoutMs, signal});
@@ -114,15 +114,15 @@
 			return {kind: 'unknown'};
 		}
 
-		// The reply was lost, or another record came first: only the store knows which record stands.
-		const standing = await read();
-		if (standing.kind === 'unknown') {
-			return standing;
+		// The response was lost or another record was appended first. Only the store can tell which record is current.
+		const current = await read();
+		if (current.kind === 'unknown') {
+			return current;
 		}
 
-		const isOwn = standing.kind === 'stands' && standing.stored.lease.incarnation === gateway.incarnation;
-		if (isOwn && JSON.stringify(standing.stored.lease) === JSON.stringify(lease)) {
-			held = {stored: standing.stored, renewedAt: sentAt, disagreements};
+		const isOwn = current.kind === 'stands' && current.stored.lease.incarnation === gateway.incarnation;
+		if (isOwn && JSON.stringify(current.stored.lease) === JSON.stringify(lease)) {
+			held = {stored: current.stored, renewedAt: sentAt, disagreements};
 			return {kind: 'stands'};
 		}
 
@@ -130,8 +130,8 @@
 			return {kind: 'unknown'};
 		}
 
-		lose('another daemon holds it');
-		return {kind: 'taken', offset: standing.kind === 'stands' ? standing.stored.offset : undefined};
+		markLost('another daemon holds the lease');
+		return {kind: 'taken', offset: current.kind === 'stands' ? current.stored.offset : undefined};
 	};
 
 	return {
@@ -139,11 +139,11 @@
 		canAct: () => held?.disagreements === countDisagreements() && mayActOnLease(held.renewedAt, gateway.settings.bounds.leaseMs, steady()),
 		read,
 		write,
-		note(lease) {
+		setHeldLease(lease) {
 			if (held) {
 				held.stored = {...held.stored, lease};
 			}
 		},
-		lose,
+		markLost,
 	};
 };
--- a/packages/gateway/src/leader/order-plan.ts
+++ b/packages/gateway/src/leader/order-plan.ts
@@ -1,4 +1,4 @@
-/** Works out the orders of backend servers from the directory and the load. */
+/** Computes the backend server orders from the directory and the load. */
 import {type BackendOrder} from '@shallotpass/core/duties/fold-lease.js';
 import {
 	learnNeed, type Need, roundNeed,
@@ -9,46 +9,46 @@
 import {getPace} from '../calls/backend-registry.js';
 import {type GatewayState, peerSilentMs} from '../gateway-state.js';
 
-/** After a refusal reclaimable backend servers of a zone are asked for again after this time, in milliseconds: the cloud says no for 12 to 15 s after a wave. */
-const refusalMs = 3500;
+/** Delay before reclaimable backend servers of a zone are ordered again after a refusal. The cloud refuses for 12 to 15 s after a wave of reclaims. */
+const refusalBackoffMs = 3500;
 
-/** Time beyond the start of a backend server after which an accepted order counts as not fulfilled, in milliseconds. */
+/** Time beyond the boot time of a backend server after which an accepted order counts as not fulfilled. */
 const startMarginMs = 2500;
 
-/** Backend servers write every 1.2 s; after three times that the list is whole. */
-const settleMs = 4000;
+/** Backend servers write their entries every 1.2 s. The directory counts as complete after three times that. */
+const directorySettleMs = 4000;
 
-export type OrderPlan = {
+export type OrderPlanner = {
 	readonly planOrders: () => BackendOrder[];
-	readonly noteAccepted: (order: BackendOrder) => void;
-	readonly noteRefusal: (order: BackendOrder) => void;
+	readonly recordAccepted: (order: BackendOrder) => void;
+	readonly recordRefusal: (order: BackendOrder) => void;
 	readonly isFulfilled: (order: BackendOrder) => boolean;
 };
 
-type Accepted = {
+type AcceptedOrder = {
 	readonly count: number;
-	/** On the steady clock. */
-	readonly startedBy: number;
+	/** When the ordered backend servers should have started, on the steady clock. */
+	readonly expectedBy: number;
 };
 
-export const openOrderPlan = (gateway: GatewayState): OrderPlan => {
-	/** `service/zone` → until when none are believed to be had. */
+export const makeOrderPlanner = (gateway: GatewayState): OrderPlanner => {
+	/** `service/zone` → time until which the cloud is assumed to offer no reclaimable ones. */
 	const refusedUntil = new Map<string, number>();
-	/** `service/zone` → the order of reclaimable ones that was accepted last. */
-	const accepted = new Map<string, Accepted>();
-	const needs = new Map<string, Need>();
-	const planned = new Map<string, number>();
+	/** `service/zone` → the last accepted order of reclaimable ones. */
+	const acceptedOrders = new Map<string, AcceptedOrder>();
+	const needsByService = new Map<string, Need>();
+	const plannedCounts = new Map<string, number>();
 	const now = (): number => gateway.clocks.steady();
 
-	/** Backend servers that started together write their entries one after the other; an order by the first few of them would end the others. */
-	const isSettled = (): boolean => gateway.directorySince !== undefined && now() >= gateway.directorySince + settleMs;
+	/** Backend servers that started together register one after the other. An order based on the first few entries would stop the others. */
+	const isDirectoryComplete = (): boolean => gateway.directorySince !== undefined && now() >= gateway.directorySince + directorySettleMs;
 
 	const countReady = (service: string, zone: string, isReclaimable: boolean): number => (gateway.registry.byService.get(service) ?? [])
 		.filter(({entry}) => entry.availabilityZone === zone && entry.isReclaimable === isReclaimable).length;
 
 	const countStarting = (service: string, zone: string, ready: number): number => {
-		const order = accepted.get(`${service}/${zone}`);
-		return order === undefined || now() > order.startedBy ? 0 : Math.max(0, order.count - ready);
+		const order = acceptedOrders.get(`${service}/${zone}`);
+		return order === undefined || now() > order.expectedBy ? 0 : Math.max(0, order.count - ready);
 	};
 
 	const listZones = (service: string): ZoneFleet[] => gateway.settings.instance.zones.map(availabilityZone => {
@@ -62,8 +62,8 @@
 		};
 	});
 
-	/** Prompt tokens that a ready backend server reads a millisecond, in the mean. */
-	const readMeanPace = (service: string): number => {
+	/** Mean prompt processing speed of the ready backend servers, in tokens per millisecond. */
+	const computeMeanSpeed = (service: string): number => {
 		const ready = gateway.registry.byService.get(service) ?? [];
 		const total = ready.reduce((sum, state) => sum + getPace(gateway.registry, state, now()).tokensPerMs, 0);
 		return ready.length === 0 ? (gateway.registry.paces.get(service) ?? firstPace).tokensPerMs : total / ready.length;
@@ -72,29 +72,29 @@
 	const countRunning = (service: string): number => (gateway.registry.byService.get(service) ?? [])
 		.reduce((sum, state) => sum + state.running + state.othersRunning, 0);
 
-	const readNeed = (service: string): Pick<PlanInput, 'needed' | 'assumed'> => {
+	const computeNeed = (service: string): Pick<PlanInput, 'needed' | 'assumed'> => {
 		const since = now() - peerSilentMs;
 		const own = gateway.workRates.get(service);
-		const heard = [...gateway.peers.values()].filter(peer => peer.heardAt >= since).map(peer => peer.work[service] ?? 0);
-		const perSecond = heard.reduce((total, rate) => total + rate, own === undefined ? 0 : readWorkRate(own, now()));
-		const known = gateway.configuration?.servicesByName.get(service);
-		const need = learnNeed(needs.get(service), {
-			promptTokensPerSecond: perSecond,
+		const peerRates = [...gateway.peers.values()].filter(peer => peer.heardAt >= since).map(peer => peer.work[service] ?? 0);
+		const promptTokensPerSecond = peerRates.reduce((total, rate) => total + rate, own === undefined ? 0 : readWorkRate(own, now()));
+		const serviceConfiguration = gateway.configuration?.servicesByName.get(service);
+		const need = learnNeed(needsByService.get(service), {
+			promptTokensPerSecond,
 			running: countRunning(service),
 			present: gateway.registry.byService.get(service)?.length ?? 0,
-			tokensPerMs: readMeanPace(service),
-			places: known?.engine?.places ?? Infinity,
-			bootMs: known?.fleet?.bootMs ?? 0,
+			tokensPerMs: computeMeanSpeed(service),
+			places: serviceConfiguration?.engine?.places ?? Infinity,
+			bootMs: serviceConfiguration?.fleet?.bootMs ?? 0,
 		}, now());
-		needs.set(service, need);
-		const needed = roundNeed(need.engines, planned.get(service) ?? 0);
-		planned.set(service, needed);
+		needsByService.set(service, need);
+		const needed = roundNeed(need.engines, plannedCounts.get(service) ?? 0);
+		plannedCounts.set(service, needed);
 		return {needed, assumed: Math.ceil(need.assumed)};
 	};
 
 	return {
 		planOrders() {
-			if (!isSettled()) {
+			if (!isDirectoryComplete()) {
 				return [];
 			}
 
@@ -102,18 +102,18 @@
 			return services.flatMap(({name, fleet}) => fleet === undefined
 				? []
 				: planEngines({
-					service: name, bounds: fleet, zones: listZones(name), ...readNeed(name), now: now(),
+					service: name, bounds: fleet, zones: listZones(name), ...computeNeed(name), now: now(),
 				}));
 		},
-		noteAccepted(order) {
+		recordAccepted(order) {
 			if (order.isReclaimable) {
 				const bootMs = gateway.configuration?.servicesByName.get(order.service)?.fleet?.bootMs ?? 0;
-				accepted.set(`${order.service}/${order.availabilityZone}`, {count: order.count, startedBy: now() + bootMs + startMarginMs});
+				acceptedOrders.set(`${order.service}/${order.availabilityZone}`, {count: order.count, expectedBy: now() + bootMs + startMarginMs});
 			}
 		},
-		noteRefusal(order) {
+		recordRefusal(order) {
 			if (order.isReclaimable) {
-				refusedUntil.set(`${order.service}/${order.availabilityZone}`, now() + refusalMs);
+				refusedUntil.set(`${order.service}/${order.availabilityZone}`, now() + refusalBackoffMs);
 			}
 		},
 		isFulfilled: order => countReady(order.service, order.availabilityZone, order.isReclaimable) >= order.count,
--- a/packages/gateway/src/start-gateway.ts
+++ b/packages/gateway/src/start-gateway.ts
@@ -17,7 +17,7 @@
 import {collectProcessFigures, openGatewayMetrics} from './telemetry/gateway-metrics.js';
 import {type GatewaySettings} from './gateway-settings.js';
 import {countDaemons, type GatewayState} from './gateway-state.js';
-import {openOrderPlan} from './leader/order-plan.js';
+import {makeOrderPlanner} from './leader/order-plan.js';
 import {startGossip} from './peers/gossip.js';
 import {askPeers, isServedByPeers, type PeerAsker} from './peers/ask-peers.js';
 import {getStoreKnowledge, listenForPeers, type RelayOptions} from './peers/shared-state.js';
@@ -135,7 +135,7 @@
 	const listener = await listenForCallers(state, options.callersServer);
 	const ready = await listenForReady(state);
 	const scrapes = listenForMetrics(state);
-	const plan = openOrderPlan(state);
+	const plan = makeOrderPlanner(state);
 	const parts: {duties?: LeaderTask; relay?: RelayOptions; asker?: PeerAsker} = {};
 	const isPaused = (): boolean => parts.relay === undefined ? state.settings.instance.firstStart : isServedByPeers(parts.relay);
 	const getLongestPauseMs = (): number => getLongestPause(parts.relay?.getStoreRole() ?? firstRole);
@@ -152,7 +152,7 @@
 	parts.duties = startLeaderTask({
 		gateway: state, platform, planOrders: plan.planOrders, onCloudAnswer() {
 			answeredAt.set('cloud', performance.now());
-		}, onAcceptedOrder: plan.noteAccepted, onRefusedOrder: plan.noteRefusal, isFulfilled: plan.isFulfilled, getStoreRole: gossip.getStoreRole, signal,
+		}, onOrderAccepted: plan.recordAccepted, onOrderRefused: plan.recordRefusal, isFulfilled: plan.isFulfilled, getStoreRole: gossip.getStoreRole, signal,
 	});
 	const relay: RelayOptions = {
 		gateway: state, directory, onConfiguration: listener.applyLimits, getStoreRole: gossip.getStoreRole, members: gossip.members, signal,
