--- a/packages/gateway/src/peers/ask-peers.ts
+++ b/packages/gateway/src/peers/ask-peers.ts
@@ -1,6 +1,6 @@
 /**
- * Asks other daemons by JSON-RPC for what they know of the platform's store, and decides when this daemon
- * reads the store itself.
+ * Fetches the configuration and the backend servers from other daemons by JSON-RPC, and decides when this daemon
+ * reads the platform's store itself.
  */
 import http from 'node:http';
 import {type StoreKnowledge} from '@shallotpass/core/gossip/gossip-report.js';
@@ -11,35 +11,35 @@
 import {getConfigurationStaleMs, takeConfiguration} from '../store/follow-configuration.js';
 import {getDirectoryPollMs} from '../store/follow-directory.js';
 import {
-	readAll, type RelayOptions, type SharedState, type SharedStateQuery,
+	readMessage, type SharedState, type SharedStateOptions, type SharedStateQuery,
 } from './shared-state.js';
 
-const askEveryMs = 300;
+const queryIntervalMs = 300;
 
-/** What reports did not confirm for this long beyond the usual age is asked for, in milliseconds. */
-const unconfirmedMs = 500;
+/** Time beyond the usual age after which state that no report has confirmed is requested from a peer. */
+const unconfirmedMarginMs = 500;
 
-/** Part of its questions that go to the best source; the others show in time that it is out of date. */
-const firstSourcePart = 0.8;
+/** Share of queries that go to the best source. The rest go to other sources, which reveals when the best one is out of date. */
+const bestSourceShare = 0.8;
 
-/** Time until an answer begins, and until all of it is there: the list of thousands of backend servers has megabytes. */
-const askTimeoutMs = 300;
-const answerTimeoutMs = 2500;
+/** Timeouts for the response headers and for the whole body. The list of thousands of backend servers takes several megabytes. */
+const responseTimeoutMs = 300;
+const bodyTimeoutMs = 2500;
 
-const askAgent = new http.Agent({keepAlive: true, maxFreeSockets: 2});
+const queryAgent = new http.Agent({keepAlive: true, maxFreeSockets: 2});
 
-const askPeer = async (address: string, query: SharedStateQuery): Promise<SharedState | undefined> => new Promise(resolve => {
+const fetchSharedState = async (address: string, query: SharedStateQuery): Promise<SharedState | undefined> => new Promise(resolve => {
 	const {host, port} = parseHostAndPort(address);
 	const request = http.request({
-		host, port, method: 'POST', path: '/', agent: askAgent, headers: {'Content-Type': 'application/json'},
+		host, port, method: 'POST', path: '/', agent: queryAgent, headers: {'Content-Type': 'application/json'},
 	});
-	const giveUp = (): void => {
+	const abortRequest = (): void => {
 		request.destroy();
 	};
 
-	let timer = setTimeout(giveUp, askTimeoutMs);
+	let timer = setTimeout(abortRequest, responseTimeoutMs);
 	request.once('error', () => {
-		// A peer that does not answer is skipped; another is asked at the next tick.
+		// A peer that does not respond is skipped. Another one is queried in the next round.
 		resolve(undefined);
 	});
 	request.once('close', () => {
@@ -47,12 +47,12 @@
 	});
 	request.once('response', async response => {
 		clearTimeout(timer);
-		timer = setTimeout(giveUp, answerTimeoutMs);
+		timer = setTimeout(abortRequest, bodyTimeoutMs);
 		try {
-			const reply = JSON.parse(await readAll(response)) as {result?: SharedState};
+			const reply = JSON.parse(await readMessage(response)) as {result?: SharedState};
 			resolve(reply.result);
 		} catch {
-			// Cut off or not JSON: as if it had not answered.
+			// A truncated or invalid response is treated like a missing one.
 			resolve(undefined);
 		}
 	});
@@ -61,8 +61,8 @@
 	}));
 });
 
-/** Takes the age of what a peer knows where this daemon knows the same. */
-const confirmKnown = ({gateway, directory}: RelayOptions, known: Omit<StoreKnowledge, 'members'>): void => {
+/** Renews the age of this daemon's state wherever the peer holds the same state. */
+const confirmFreshness = ({gateway, directory}: SharedStateOptions, known: Omit<StoreKnowledge, 'members'>): void => {
 	const version = gateway.configuration?.configuration.version ?? -1;
 	if (known.configurationVersion === version) {
 		gateway.configurationCheckedAt = Math.max(gateway.configurationCheckedAt, gateway.clocks.steady() - known.configurationAgeMs);
@@ -73,10 +73,10 @@
 	}
 };
 
-const takeSharedState = (options: RelayOptions, state: SharedState): void => {
+const applySharedState = (options: SharedStateOptions, state: SharedState): void => {
 	const {directory, members, onConfiguration} = options;
 	for (const member of state.members ?? []) {
-		members.meet(member);
+		members.add(member);
 	}
 
 	if (state.configuration !== undefined && takeConfiguration(options.gateway, state.configuration, 'peer')) {
@@ -87,26 +87,26 @@
 		directory.takeFromPeer({backends: state.backends, next: state.directoryNext}, state.directoryAgeMs);
 	}
 
-	confirmKnown(options, state);
+	confirmFreshness(options, state);
 };
 
-const listAddresses = (gateway: GatewayState): string[] => {
+const listPeerAddresses = (gateway: GatewayState): string[] => {
 	const since = gateway.clocks.steady() - peerSilentMs;
 	const heard = [...gateway.peers.values()].filter(peer => peer.heardAt >= since).map(peer => peer.address);
 	const seeds = gateway.settings.peers.seeds.filter(address => address !== gateway.settings.listen.peers);
 	return heard.length > 0 ? heard : seeds;
 };
 
-/** At the first start of all there are no callers yet: daemons wait for this long to know each other, and then for what the reader read, in milliseconds. */
-const firstMeetingMs = 1500;
-const firstReadingMs = 6000;
+/** When all daemons start for the first time there are no callers yet. Daemons first wait to discover each other, then for the state that the reading daemon has loaded. */
+const firstDiscoveryMs = 1500;
+const firstLoadMs = 6000;
 
-const isStartingFirst = ({gateway}: RelayOptions, ms: number): boolean =>
+const isWithinFirstStart = ({gateway}: SharedStateOptions, ms: number): boolean =>
 	gateway.settings.instance.firstStart && gateway.clocks.steady() < gateway.startedAt + ms;
 
-/** Whether what the daemon knows is older than its sources leave it when they work. */
-const isStale = (options: RelayOptions): boolean => {
-	if (isStartingFirst(options, firstReadingMs)) {
+/** Whether this daemon's state is older than it would be with working sources. */
+const isStale = (options: SharedStateOptions): boolean => {
+	if (isWithinFirstStart(options, firstLoadMs)) {
 		return false;
 	}
 
@@ -117,20 +117,20 @@
 	return configurationAge >= getConfigurationStaleMs(bounds) + marginMs || directory.read().ageMs >= getDirectoryPollMs(bounds) + marginMs;
 };
 
-/** Whether another daemon follows the store for this one, and does it well. */
-export const isServedByPeers = (options: RelayOptions): boolean =>
-	isStartingFirst(options, firstMeetingMs) || (options.getStoreRole().rank > 0 && !isStale(options));
+/** Whether other daemons read the store on behalf of this one and keep its state up to date. */
+export const isServedByPeers = (options: SharedStateOptions): boolean =>
+	isWithinFirstStart(options, firstDiscoveryMs) || (options.getStoreRole().rank > 0 && !isStale(options));
 
-const listSources = (options: RelayOptions): readonly string[] => {
+const listSources = (options: SharedStateOptions): readonly string[] => {
 	const {rank, sources} = options.getStoreRole();
-	return rank > 0 && !isStale(options) ? sources : listAddresses(options.gateway);
+	return rank > 0 && !isStale(options) ? sources : listPeerAddresses(options.gateway);
 };
 
 const pickSource = (sources: readonly string[], random: () => number): string | undefined =>
-	random() < firstSourcePart ? sources[0] : sources[Math.floor(random() * sources.length)];
+	random() < bestSourceShare ? sources[0] : sources[Math.floor(random() * sources.length)];
 
-/** Tells in the log when this daemon begins or ends to read the store itself. */
-const openSourceLog = (options: RelayOptions): (() => void) => {
+/** Logs when this daemon starts or stops reading the store itself. */
+const makeSourceLogger = (options: SharedStateOptions): (() => void) => {
 	const {gateway, directory} = options;
 	let wasServed: boolean | undefined;
 	return () => {
@@ -148,66 +148,66 @@
 	};
 };
 
-/** Whether reports confirm what this daemon knows as often as they should. */
-const isConfirmed = ({gateway, directory}: RelayOptions): boolean => {
+/** Whether recent reports confirm that this daemon's state is up to date. */
+const isUpToDate = ({gateway, directory}: SharedStateOptions): boolean => {
 	const {bounds} = gateway.settings;
 	const configurationAge = gateway.clocks.steady() - gateway.configurationCheckedAt;
-	return configurationAge < getConfigurationStaleMs(bounds) && directory.read().ageMs < getDirectoryPollMs(bounds) + unconfirmedMs;
+	return configurationAge < getConfigurationStaleMs(bounds) && directory.read().ageMs < getDirectoryPollMs(bounds) + unconfirmedMarginMs;
 };
 
-const ask = async (options: RelayOptions, address: string): Promise<void> => {
+const queryPeer = async (options: SharedStateOptions, address: string): Promise<void> => {
 	const {gateway, directory, members} = options;
-	const state = await askPeer(address, {
+	const state = await fetchSharedState(address, {
 		configurationVersion: gateway.configuration?.configuration.version ?? -1,
 		directoryNext: directory.read().directory.next,
 		directoryDigest: directory.read().digest,
 		members: members.list().length,
 	});
 	if (state !== undefined) {
-		takeSharedState(options, state);
+		applySharedState(options, state);
 	}
 };
 
-export type PeerAsker = {
-	/** Takes what a peer told of its knowledge; asks it for what this daemon lacks. */
-	readonly hear: (known: StoreKnowledge, address: string) => void;
+export type PeerQuerier = {
+	/** Compares a peer's state with this daemon's, and queries the peer if it has newer state. */
+	readonly handleStoreKnowledge: (known: StoreKnowledge, address: string) => void;
 };
 
-/** Asks the daemons that follow the store for this one for what is new there, or any peer while what is known is stale. */
-export const askPeers = (options: RelayOptions): PeerAsker => {
+/** Queries the daemons that read the store on behalf of this one for new state, or any peer while this daemon's state is stale. */
+export const startPeerQueries = (options: SharedStateOptions): PeerQuerier => {
 	const {gateway, directory, signal} = options;
-	const logSource = openSourceLog(options);
-	let isAsking = false;
-	const askOnce = async (address: string): Promise<void> => {
-		if (!isAsking) {
-			isAsking = true;
-			await ask(options, address);
-			isAsking = false;
+	const logSource = makeSourceLogger(options);
+	let isQuerying = false;
+	const queryUnlessBusy = async (address: string): Promise<void> => {
+		if (!isQuerying) {
+			isQuerying = true;
+			await queryPeer(options, address);
+			isQuerying = false;
 		}
 	};
 
-	const askWhileUnconfirmed = async (): Promise<void> => {
+	const queryWhileOutOfDate = async (): Promise<void> => {
 		while (!signal.aborted) {
 			logSource();
-			// eslint-disable-next-line no-await-in-loop -- a tick after the other
-			await pauseFor(askEveryMs, signal);
-			const address = isConfirmed(options) ? undefined : pickSource(listSources(options), gateway.random);
+			// eslint-disable-next-line no-await-in-loop -- rounds are sequential
+			await pauseFor(queryIntervalMs, signal);
+			const address = isUpToDate(options) ? undefined : pickSource(listSources(options), gateway.random);
 			if (address !== undefined) {
-				// eslint-disable-next-line no-await-in-loop -- a tick after the other
-				await askOnce(address);
+				// eslint-disable-next-line no-await-in-loop -- rounds are sequential
+				await queryUnlessBusy(address);
 			}
 		}
 	};
 
-	void askWhileUnconfirmed();
+	void queryWhileOutOfDate();
 	return {
-		hear(known, address) {
-			confirmKnown(options, known);
+		handleStoreKnowledge(known, address) {
+			confirmFreshness(options, known);
 			const isNewer = known.configurationVersion > (gateway.configuration?.configuration.version ?? -1)
 				|| known.members > options.members.list().length
 				|| (known.directoryNext > directory.read().directory.next && known.directoryDigest !== directory.read().digest);
 			if (isNewer) {
-				void askOnce(address);
+				void queryUnlessBusy(address);
 			}
 		},
 	};
--- a/packages/gateway/src/peers/gossip.ts
+++ b/packages/gateway/src/peers/gossip.ts
@@ -1,8 +1,8 @@
 /**
- * Tells other daemons, several times a second, what this one does, and hears what they do: load at
- * backend servers, what callers ask, usage. GossipReport are JSON-RPC notifications in datagrams; losing
- * one costs nothing, since the next says it all again. Members find each other in the platform's
- * store, and after that by hearing each other.
+ * Exchanges reports with other daemons several times a second: load on backend servers, demand of
+ * client accounts, usage. Reports are JSON-RPC notifications in UDP datagrams. Losing one is harmless,
+ * since the next one repeats everything. Members discover each other through the platform's store, and
+ * later through the reports they receive.
  */
 import {Buffer} from 'node:buffer';
 import dgram from 'node:dgram';
@@ -20,44 +20,44 @@
 import {parseHostAndPort} from '../host-and-port.js';
 import {type Platform} from '../ports.js';
 import {joinMembers, type MemberList} from './join-members.js';
-import {makeReport, type OwnReport} from './make-report.js';
-import {openRelayWatch} from './relay-watch.js';
+import {makeReport, type ReportInput} from './make-report.js';
+import {makeRelayMonitor} from './relay-watch.js';
 import {sumOtherLoads} from './sum-other-loads.js';
 
-/** Between two rounds; load that is older misleads the placing of calls that take 200 ms. */
-const gossipEveryMs = 300;
+/** Interval between rounds. Older load figures would mislead the placement of calls that take 200 ms. */
+const gossipIntervalMs = 300;
 
-/** Peers that were silent for so long are told only now and then. */
-const quietMs = 5000;
-const quietRounds = 7;
+/** Peers that were silent for this long receive a report only every few rounds. */
+const quietAfterMs = 5000;
+const quietRoundInterval = 7;
 
-/** Peers that were silent for so long are forgotten, with the usage they told. */
-const forgetMs = 40_000;
+/** Peers that were silent for this long are removed, together with the usage they reported. */
+const removeAfterMs = 40_000;
 
-/** Who reads the store for all was heard within this time: three rounds, and one that is late. */
-const readerSilentMs = 1000;
+/** Peers heard from within this time can read the store for all. Three rounds, with tolerance for one late report. */
+const readerTimeoutMs = 1000;
 
-/** Roles are asked for many times a second, and change with what is heard. */
-const roleKeptMs = 100;
+/** Time for which a computed role is cached. Roles are requested many times a second. */
+const roleCacheMs = 100;
 
 const messageSchema = z.object({params: z.array(gossipReportSchema)});
 
 export type GossipOptions = {
 	readonly gateway: GatewayState;
 	readonly platform: Platform;
-	readonly getOwn: (members: MemberList) => OwnReport;
-	/** Another daemon that this one goes by told what it knows of the store. */
-	readonly onKnown: (known: StoreKnowledge, address: string) => void;
+	readonly getReportInput: (members: MemberList) => ReportInput;
+	/** Called with the store state that a peer reports, and the peer's address. */
+	readonly onStoreKnowledge: (known: StoreKnowledge, address: string) => void;
 	readonly signal: AbortSignal;
 };
 
 export type GossipTask = {
-	/** Whether this daemon reads the store for the others, or whom it asks instead. */
+	/** Returns whether this daemon reads the store for the others, or which daemons it queries instead. */
 	readonly getStoreRole: () => StoreRole;
 	readonly members: MemberList;
 };
 
-/** Tells and hears until the signal is aborted. */
+/** Sends and receives reports until the signal is aborted. */
 export const startGossip = async (options: GossipOptions): Promise<GossipTask> => {
 	const {gateway, signal} = options;
 	const {host, port} = parseHostAndPort(gateway.settings.listen.peers);
@@ -66,21 +66,24 @@
 	const self: Member = {
 		id: selfId, address: gateway.settings.listen.peers, availabilityZone: ownZone, linkMbps,
 	};
-	/** By address. */
+	/** Members by address. */
 	const members = new Map<string, Member>([[self.address, self]]);
-	/** Seeds and members that were not heard yet, and since when. */
+	/** Seeds and members from which no report has arrived yet, by address, with the time when they were added. */
 	const unconfirmed = new Map<string, number>();
-	/** Daemons that told this one as their relay, by incarnation. */
-	const told = new Map<string, {readonly report: GossipReport; readonly heardAt: number}>();
-	/** Sums of the other zones, by incarnation; both relays of a zone hear them, and the one that speaks uses them. */
+	/** Reports from daemons that use this one as their relay, by incarnation. */
+	const zoneReports = new Map<string, {readonly report: GossipReport; readonly heardAt: number}>();
+	/** Aggregated reports of the other zones, by incarnation. Both relays of a zone receive them, but only the active relay uses them. */
 	const zoneSums = new Map<string, HeardReport>();
-	let isSpeaking = false;
-	/** Whether something was heard that changes what the others do at backend servers; a relay hears parts of its own sum. */
+	let isActiveRelay = false;
+	/**
+	 * Whether a received report changes the load of the other daemons on backend servers. With relays
+	 * in use only aggregated reports do, since the others become part of this relay's own sum.
+	 */
 	let hasNewLoads = false;
-	const relayWatch = openRelayWatch(gateway, self.address);
+	const relayMonitor = makeRelayMonitor(gateway, self.address);
 	const now = (): number => gateway.clocks.steady();
 
-	const meet = (member: Member): void => {
+	const addMember = (member: Member): void => {
 		if (member.address === self.address) {
 			return;
 		}
@@ -92,13 +95,13 @@
 		}
 	};
 
-	const memberList: MemberList = {meet, list: () => [...members.values()]};
-	let lastOwn = makeReport(gateway, options.getOwn(memberList));
+	const memberList: MemberList = {add: addMember, list: () => [...members.values()]};
+	let ownReport = makeReport(gateway, options.getReportInput(memberList));
 	let rounds = 0;
 
 	const toHeardReport = (report: GossipReport): HeardReport => ({...report, heardAt: now(), clockOffset: report.trueTime - now()});
 
-	const notePeer = (report: HeardReport): void => {
+	const recordPeer = (report: HeardReport): void => {
 		if (!gateway.peers.has(report.incarnation)) {
 			gateway.log.write('state', 'peer_joined', {
 				peer: report.id, address: report.address, incarnation: report.incarnation, daemons: report.daemons,
@@ -107,28 +110,28 @@
 
 		gateway.peers.set(report.incarnation, report);
 		if (report.address !== self.address) {
-			options.onKnown(report.known, report.address);
+			options.onStoreKnowledge(report.known, report.address);
 		}
 	};
 
-	/** A daemon hears of the others from its relay in one sum; a relay from the sums of zones. */
-	const hearSum = (report: GossipReport): void => {
-		relayWatch.noteHeard(report.address);
+	/** Handles aggregated reports: a relay uses those of the other zones, any other daemon uses the total sent by its relay. */
+	const handleAggregate = (report: GossipReport): void => {
+		relayMonitor.recordReport(report.address);
 		if (isZoneSum(report) && report.availabilityZone !== ownZone) {
 			const heard = toHeardReport(report);
 			zoneSums.set(report.incarnation, heard);
-			if (isSpeaking) {
-				notePeer(heard);
+			if (isActiveRelay) {
+				recordPeer(heard);
 			}
 		}
 
-		if (isTotal(report) && report.availabilityZone === ownZone && !isSpeaking) {
-			notePeer(toHeardReport(withoutOwn(report, lastOwn)));
+		if (isTotal(report) && report.availabilityZone === ownZone && !isActiveRelay) {
+			recordPeer(toHeardReport(withoutOwn(report, ownReport)));
 		}
 	};
 
-	/** Once there are relays, daemons that spoke for themselves before are a part of a sum. */
-	const forgetSinglePeers = (): void => {
+	/** Removes peers that reported directly. With relays in use, they are included in an aggregated report. */
+	const removeDirectPeers = (): void => {
 		for (const [incarnation, peer] of gateway.peers) {
 			if (!isSum(peer)) {
 				gateway.peers.delete(incarnation);
@@ -136,27 +139,27 @@
 		}
 	};
 
-	/** What the other kind of daemon goes by would be counted beside its own. */
-	const setSpeaking = (speaks: boolean): void => {
-		if (speaks === isSpeaking) {
+	/** Switches between the active relay's sources and those of other daemons. Keeping both would count peers twice. */
+	const setActiveRelay = (isActive: boolean): void => {
+		if (isActive === isActiveRelay) {
 			return;
 		}
 
-		isSpeaking = speaks;
+		isActiveRelay = isActive;
 		for (const [incarnation, peer] of gateway.peers) {
-			if (speaks ? isTotal(peer) : isZoneSum(peer)) {
+			if (isActive ? isTotal(peer) : isZoneSum(peer)) {
 				gateway.peers.delete(incarnation);
 			}
 		}
 
-		if (speaks) {
+		if (isActive) {
 			for (const heard of zoneSums.values()) {
-				notePeer(heard);
+				recordPeer(heard);
 			}
 		}
 	};
 
-	const hear = (report: GossipReport): void => {
+	const handleReport = (report: GossipReport): void => {
 		if (report.incarnation === gateway.incarnation) {
 			return;
 		}
@@ -174,26 +177,26 @@
 
 		if (!needsRelays(members.size)) {
 			if (!isSum(report)) {
-				notePeer(toHeardReport(report));
+				recordPeer(toHeardReport(report));
 			}
 
 			return;
 		}
 
 		if (isSum(report)) {
-			hearSum(report);
+			handleAggregate(report);
 			return;
 		}
 
-		told.set(report.incarnation, {report, heardAt: now()});
+		zoneReports.set(report.incarnation, {report, heardAt: now()});
 	};
 
 	socket.on('message', message => {
 		try {
-			const reading = messageSchema.safeParse(JSON.parse(message.toString('utf8')));
-			if (reading.success) {
-				for (const report of reading.data.params) {
-					hear(report);
+			const parsed = messageSchema.safeParse(JSON.parse(message.toString('utf8')));
+			if (parsed.success) {
+				for (const report of parsed.data.params) {
+					handleReport(report);
 				}
 
 				if (hasNewLoads) {
@@ -212,40 +215,40 @@
 		socket.bind({address: host, port}, resolve);
 	});
 
-	const send = (address: string, report: GossipReport): void => {
+	const sendReport = (address: string, report: GossipReport): void => {
 		const message = Buffer.from(JSON.stringify(createJSONRPCNotification('gossip', [report])));
 		const target = parseHostAndPort(address);
 		socket.send(message, target.port, target.host);
 	};
 
-	const forgetSilent = (): void => {
+	const removeSilentPeers = (): void => {
 		for (const [incarnation, peer] of gateway.peers) {
-			if (peer.heardAt < now() - forgetMs) {
+			if (peer.heardAt < now() - removeAfterMs) {
 				gateway.peers.delete(incarnation);
 				gateway.log.write('state', 'peer_forgotten', {peer: peer.id, silentMs: Math.round(now() - peer.heardAt)});
 			}
 		}
 
-		for (const [incarnation, {heardAt}] of told) {
-			if (heardAt < now() - forgetMs) {
-				told.delete(incarnation);
+		for (const [incarnation, {heardAt}] of zoneReports) {
+			if (heardAt < now() - removeAfterMs) {
+				zoneReports.delete(incarnation);
 			}
 		}
 
 		for (const [incarnation, {heardAt}] of zoneSums) {
-			if (heardAt < now() - forgetMs) {
+			if (heardAt < now() - removeAfterMs) {
 				zoneSums.delete(incarnation);
 			}
 		}
 
 		for (const [address, since] of unconfirmed) {
-			if (since < now() - forgetMs) {
+			if (since < now() - removeAfterMs) {
 				unconfirmed.delete(address);
 			}
 		}
 	};
 
-	const tellAll = (): void => {
+	const sendToAllPeers = (): void => {
 		const addresses = new Map<string, number>();
 		for (const peer of gateway.peers.values()) {
 			addresses.set(peer.address, Math.max(addresses.get(peer.address) ?? 0, peer.heardAt));
@@ -256,63 +259,63 @@
 		}
 
 		for (const [address, heardAt] of addresses) {
-			if (heardAt >= now() - quietMs || rounds % quietRounds === 0) {
-				send(address, lastOwn);
+			if (heardAt >= now() - quietAfterMs || rounds % quietRoundInterval === 0) {
+				sendReport(address, ownReport);
 			}
 		}
 	};
 
-	/** Adds up the reports of this daemon's zone, passes the sum to the other zones' relays and all sums to those who told this daemon. */
-	const relay = (): void => {
+	/** Aggregates the reports of this daemon's zone, and sends the sum to the relays of other zones and the total of all zones to the daemons of its own zone. */
+	const relayReports = (): void => {
 		const since = now() - peerSilentMs;
 		const isFresh = ({heardAt}: {readonly heardAt: number}): boolean => heardAt >= since;
-		const others = [...told.values()];
-		const sum = sumReports(lastOwn, others.filter(entry => isFresh(entry)).map(({report}) => report), others.filter(entry => !isFresh(entry)).map(({report}) => report));
-		notePeer(toHeardReport(withoutOwn(sum, lastOwn)));
-		const isAlone = isOwnZoneAlone(gateway.registry, ownZone);
-		const forOthers = isAlone ? limitLoads(sum, () => false) : sum;
+		const others = [...zoneReports.values()];
+		const sum = sumReports(ownReport, others.filter(entry => isFresh(entry)).map(({report}) => report), others.filter(entry => !isFresh(entry)).map(({report}) => report));
+		recordPeer(toHeardReport(withoutOwn(sum, ownReport)));
+		const isZoneIsolated = isOwnZoneAlone(gateway.registry, ownZone);
+		const sumForOtherZones = isZoneIsolated ? limitLoads(sum, () => false) : sum;
 		const zones = gateway.settings.instance.zones.filter(zone => zone !== ownZone);
 		for (const zone of zones) {
-			for (const {address} of pickRelays(members.values(), zone, relayWatch.isAvoided)) {
-				send(address, forOthers);
+			for (const {address} of pickRelays(members.values(), zone, relayMonitor.isSkipped)) {
+				sendReport(address, sumForOtherZones);
 			}
 		}
 
-		const foreign = [...zoneSums.values()];
-		const total = totalReports(sum, foreign.filter(entry => isFresh(entry)), foreign.filter(entry => !isFresh(entry)));
+		const otherZoneSums = [...zoneSums.values()];
+		const total = totalReports(sum, otherZoneSums.filter(entry => isFresh(entry)), otherZoneSums.filter(entry => !isFresh(entry)));
 		const isInZone = (id: string): boolean => gateway.registry.byId.get(id)?.entry.availabilityZone === ownZone;
-		const forZone = isAlone ? limitLoads(total, isInZone) : total;
+		const totalForZone = isZoneIsolated ? limitLoads(total, isInZone) : total;
 		for (const {report, heardAt} of others) {
 			if (heardAt >= since) {
-				send(report.address, forZone);
+				sendReport(report.address, totalForZone);
 			}
 		}
 	};
 
-	const tellRelays = (): void => {
-		forgetSinglePeers();
-		const relays = pickRelays(members.values(), ownZone, relayWatch.isAvoided);
-		relayWatch.judgeFirst(relays[0]);
+	const sendToRelays = (): void => {
+		removeDirectPeers();
+		const relays = pickRelays(members.values(), ownZone, relayMonitor.isSkipped);
+		relayMonitor.checkFirstRelay(relays[0]);
 		for (const {address} of relays) {
 			if (address !== self.address) {
-				send(address, lastOwn);
+				sendReport(address, ownReport);
 			}
 		}
 
-		setSpeaking(relayWatch.findSpeaking(relays)?.address === self.address);
-		if (isSpeaking) {
-			relay();
+		setActiveRelay(relayMonitor.findActiveRelay(relays)?.address === self.address);
+		if (isActiveRelay) {
+			relayReports();
 		}
 	};
 
-	const tell = (): void => {
+	const runRound = (): void => {
 		rounds++;
-		forgetSilent();
-		lastOwn = makeReport(gateway, options.getOwn(memberList));
+		removeSilentPeers();
+		ownReport = makeReport(gateway, options.getReportInput(memberList));
 		if (needsRelays(members.size)) {
-			tellRelays();
+			sendToRelays();
 		} else {
-			tellAll();
+			sendToAllPeers();
 		}
 
 		const fresh = [...gateway.peers.values()].filter(peer => peer.heardAt >= now() - peerSilentMs);
@@ -321,35 +324,35 @@
 		sumOtherLoads(gateway);
 	};
 
-	const timer = setInterval(tell, gossipEveryMs);
+	const timer = setInterval(runRound, gossipIntervalMs);
 	signal.addEventListener('abort', () => {
 		clearInterval(timer);
 		socket.close();
 	}, {once: true});
 
 	for (const address of gateway.settings.peers.seeds) {
-		meet({
+		addMember({
 			id: address, address, availabilityZone: '', linkMbps: 0,
 		});
 	}
 
-	const findStoreRole = (): StoreRole => {
-		const since = now() - readerSilentMs;
+	const determineStoreRole = (): StoreRole => {
+		const since = now() - readerTimeoutMs;
 		const heard = [...gateway.peers.values()].filter(peer => peer.heardAt >= since);
 		if (!needsRelays(members.size)) {
 			return computeStoreRole({self, heard, relays: []});
 		}
 
-		const relays = isSpeaking ? [] : pickRelays(members.values(), ownZone, relayWatch.isAvoided).filter(({address}) => address !== self.address);
+		const relays = isActiveRelay ? [] : pickRelays(members.values(), ownZone, relayMonitor.isSkipped).filter(({address}) => address !== self.address);
 		return computeStoreRole({self, heard: heard.filter(peer => peer.availabilityZone !== ownZone), relays});
 	};
 
-	let role = findStoreRole();
-	let roleFoundAt = now();
+	let role = determineStoreRole();
+	let roleComputedAt = now();
 	const getStoreRole = (): StoreRole => {
-		if (now() >= roleFoundAt + roleKeptMs) {
-			role = findStoreRole();
-			roleFoundAt = now();
+		if (now() >= roleComputedAt + roleCacheMs) {
+			role = determineStoreRole();
+			roleComputedAt = now();
 		}
 
 		return role;
--- a/packages/gateway/src/peers/join-members.ts
+++ b/packages/gateway/src/peers/join-members.ts
@@ -1,4 +1,4 @@
-/** How daemons find each other: each writes itself into the platform's store and reads who else is there. */
+/** Discovers other daemons: each daemon registers itself in the platform's store and reads the other members. */
 import {Buffer} from 'node:buffer';
 import {type Member} from '@shallotpass/core/gossip/pick-relays.js';
 import {type StoreRole} from '@shallotpass/core/gossip/store-role.js';
@@ -8,33 +8,33 @@
 import {type Platform} from '../ports.js';
 
 const membersTimeoutMs = 1500;
-const membersPauseMs = 1000;
+const membersRetryMs = 1000;
 
-/** At the first start of all, the others write themselves in within this time, in milliseconds. */
-const firstStartMs = 900;
+/** When all daemons start for the first time, the others register within this time. */
+const firstStartDelayMs = 900;
 
-/** Between two readings of the daemon that reads for all, in milliseconds: soon after its start, and later. */
-const earlyListingMs = 1800;
-const earlyMs = 8000;
-const lateListingMs = 12_000;
+/** Intervals at which the daemon that reads the store for all reads the members: during the first seconds after its start, and later. */
+const earlyReadIntervalMs = 1800;
+const earlyPeriodMs = 8000;
+const lateReadIntervalMs = 12_000;
 
 const memberSchema = z.object({
 	id: z.string(), address: z.string(), availabilityZone: z.string(), linkMbps: z.number(),
 });
 
-const readMember = (value: Uint8Array): Member | undefined => {
+const parseMember = (value: Uint8Array): Member | undefined => {
 	try {
 		return memberSchema.safeParse(JSON.parse(Buffer.from(value).toString('utf8'))).data;
 	} catch {
-		// A record that is no JSON names nobody; a daemon of another version may have written it.
+		// The record is not valid JSON. A daemon of another version may have written it.
 		return undefined;
 	}
 };
 
-/** Who is there, as far as this daemon knows. */
+/** The members known to this daemon. */
 export type MemberList = {
 	readonly list: () => readonly Member[];
-	readonly meet: (member: Member) => void;
+	readonly add: (member: Member) => void;
 };
 
 export type JoinOptions = {
@@ -46,7 +46,7 @@
 	readonly signal: AbortSignal;
 };
 
-/** Whether the store's list names this daemon; undefined while the store does not answer. */
+/** Reads the members from the store. Returns whether this daemon is registered, or undefined if the store does not answer. */
 const readMembers = async ({gateway, platform, self, members, signal}: JoinOptions): Promise<boolean | undefined> => {
 	const listing = await platform.store.readNewest('members', {timeoutMs: membersTimeoutMs, signal});
 	if (listing.kind === 'failed') {
@@ -55,10 +55,10 @@
 
 	let isListed = false;
 	for (const record of listing.records) {
-		const member = record.value && readMember(record.value);
+		const member = record.value && parseMember(record.value);
 		if (member) {
 			isListed ||= member.id === self.id && member.address === self.address;
-			members.meet(member);
+			members.add(member);
 		}
 	}
 
@@ -66,41 +66,41 @@
 	return isListed;
 };
 
-/** Whether this daemon's record stands in the store. */
-const writeMember = async ({platform, self, signal}: JoinOptions): Promise<boolean> => {
+/** Registers this daemon in the store. Returns whether the record was stored. */
+const registerMember = async ({platform, self, signal}: JoinOptions): Promise<boolean> => {
 	const value = Buffer.from(JSON.stringify(self));
 	const reply = await platform.store.append('members', {key: self.id, value}, {timeoutMs: membersTimeoutMs, signal});
 	return reply.kind === 'appended';
 };
 
-const getListingPause = ({clocks, startedAt}: GatewayState): number => clocks.steady() < startedAt + earlyMs ? earlyListingMs : lateListingMs;
+const getReadIntervalMs = ({clocks, startedAt}: GatewayState): number => clocks.steady() < startedAt + earlyPeriodMs ? earlyReadIntervalMs : lateReadIntervalMs;
 
 /**
- * Writes this daemon into the store unless it stands there from an earlier start, and reads the
- * others once; whoever reads the store for all goes on reading, and the others learn of members from it.
+ * Registers this daemon in the store unless it is registered from an earlier start, and reads the
+ * members once. The daemon that reads the store for all keeps reading them, and the others receive them from it.
  */
 export const joinMembers = async (options: JoinOptions): Promise<void> => {
 	const {gateway, members, signal} = options;
 	const isFirstStart = gateway.settings.instance.firstStart;
-	let isWritten = false;
+	let isRegistered = false;
 	let hasRead = false;
 	if (isFirstStart) {
-		isWritten = await writeMember(options);
-		await pauseFor(firstStartMs, signal);
+		isRegistered = await registerMember(options);
+		await pauseFor(firstStartDelayMs, signal);
 	}
 
 	while (!signal.aborted) {
-		if (!hasRead || !isWritten || options.getStoreRole().rank === 0) {
-			const isListed = await readMembers(options); // eslint-disable-line no-await-in-loop -- until it is done
+		if (!hasRead || !isRegistered || options.getStoreRole().rank === 0) {
+			const isListed = await readMembers(options); // eslint-disable-line no-await-in-loop -- retried until it succeeds
 			hasRead ||= isListed !== undefined;
-			isWritten ||= isListed ?? false;
-			if (!isWritten && hasRead) {
-				isWritten = await writeMember(options); // eslint-disable-line no-await-in-loop -- until it is done
+			isRegistered ||= isListed ?? false;
+			if (!isRegistered && hasRead) {
+				isRegistered = await registerMember(options); // eslint-disable-line no-await-in-loop -- retried until it succeeds
 			}
 		}
 
-		const pauseMs = hasRead && isWritten ? getListingPause(gateway) : membersPauseMs;
-		// eslint-disable-next-line no-await-in-loop -- until it is done
-		await pauseFor(pauseMs * (0.75 + (0.5 * gateway.random())), signal);
+		const delayMs = hasRead && isRegistered ? getReadIntervalMs(gateway) : membersRetryMs;
+		// eslint-disable-next-line no-await-in-loop -- delay between attempts
+		await pauseFor(delayMs * (0.75 + (0.5 * gateway.random())), signal);
 	}
 };
--- a/packages/gateway/src/peers/make-report.ts
+++ b/packages/gateway/src/peers/make-report.ts
@@ -1,4 +1,4 @@
-/** What a daemon tells the others of itself. */
+/** Builds the gossip report of this daemon. */
 import {readRecord} from '@shallotpass/core/placement/engine-pace.js';
 import {readWorkRate} from '@shallotpass/core/engines/work-rate.js';
 import {type GossipReport, type StoreKnowledge} from '@shallotpass/core/gossip/gossip-report.js';
@@ -6,35 +6,35 @@
 import {readSpentSlots} from '@shallotpass/core/quotas/spending.js';
 import {type GatewayState} from '../gateway-state.js';
 
-/** Windows of usage that are told: the running one and those whose report may still be due. */
-const toldWindows = 3;
+/** Number of usage windows in a report: the current one and those whose usage report may still be due. */
+const reportedWindowCount = 3;
 
-/** Requests that ended backend servers lately that are told; one that ends them comes again within seconds. */
-const toldCrashes = 20;
+/** Most requests in a report that recently crashed backend servers. Such a request is repeated within seconds. */
+const maxReportedCrashes = 20;
 
-/** Reading below this many milliseconds says nothing of a backend server's speed any more. */
-const leastToldMs = 10;
+/** With less prompt processing time than this, a measurement says too little about a backend server's speed to be reported. */
+const minReportedMs = 10;
 
 const roundAmounts = (amounts: Iterable<readonly [string, number]>): Record<string, number> =>
 	Object.fromEntries([...amounts].map(([key, amount]) => [key, Math.round(amount)] as const).filter(([, amount]) => amount > 0));
 
-export type OwnReport = {
+export type ReportInput = {
 	readonly leaseOffset: number;
 	readonly known: StoreKnowledge;
 };
 
-export const makeReport = (gateway: GatewayState, {leaseOffset, known}: OwnReport): GossipReport => {
+export const makeReport = (gateway: GatewayState, {leaseOffset, known}: ReportInput): GossipReport => {
 	const {settings, incarnation, registry, buckets, usage} = gateway;
 	const now = gateway.clocks.steady();
 	const loads: Array<[string, number[]]> = [];
 	for (const state of registry.byId.values()) {
 		const {tokens, ms} = readRecord(state.reading, now);
-		if (state.running > 0 || ms >= leastToldMs) {
+		if (state.running > 0 || ms >= minReportedMs) {
 			loads.push([state.entry.id, [state.running, ...state.pendingTokens, tokens, ms].map(amount => Math.round(amount))]);
 		}
 	}
 
-	const windows = [...usage].toSorted(([left], [right]) => right - left).slice(0, toldWindows);
+	const windows = [...usage].toSorted(([left], [right]) => right - left).slice(0, reportedWindowCount);
 	return {
 		id: settings.instance.id,
 		incarnation,
@@ -51,6 +51,6 @@
 		work: roundAmounts([...gateway.workRates].map(([service, rate]) => [service, readWorkRate(rate, now)] as const)),
 		leaseOffset,
 		trueTime: gateway.clocks.trueTime(),
-		crashes: Object.fromEntries([...gateway.crashes.endedBy].slice(-toldCrashes).map(([digest, ended]) => [digest, [...ended]])),
+		crashes: Object.fromEntries([...gateway.crashes.endedBy].slice(-maxReportedCrashes).map(([digest, ended]) => [digest, [...ended]])),
 	};
 };
--- a/packages/gateway/src/peers/shared-state.ts
+++ b/packages/gateway/src/peers/shared-state.ts
@@ -1,6 +1,6 @@
 /**
- * Passes the configuration and the list of backend servers on between daemons by JSON-RPC, for
- * daemons that the platform's store turns away while it serves others.
+ * Serves the configuration, the backend servers and the members to other daemons by JSON-RPC. Daemons
+ * that do not read the platform's store, or are refused by it, get them this way.
  */
 import {Buffer} from 'node:buffer';
 import http from 'node:http';
@@ -15,27 +15,27 @@
 import {parseHostAndPort} from '../host-and-port.js';
 import {type MemberList} from './join-members.js';
 
-/** A configuration of 350 routes has 100 kB; this bounds what a peer is believed to send. */
-const maxReplyBytes = 16_777_216;
+/** Largest message accepted from a peer. A configuration of 350 routes has 100 kB. */
+const maxMessageBytes = 16_777_216;
 
 export type SharedStateQuery = {
 	readonly configurationVersion: number;
 	readonly directoryNext: number;
 	readonly directoryDigest: string;
-	/** Daemons that the asker knows. */
+	/** Number of members known to the querying daemon. */
 	readonly members: number;
 };
 
 export type SharedState = Omit<StoreKnowledge, 'members'> & {
-	/** Present when it is newer than the version of the query. */
+	/** Present if it is newer than the version in the query. */
 	readonly configuration?: ServingConfiguration;
-	/** Present when they are newer than those of the query, and others. */
+	/** Present if they are newer than those in the query and differ from them. */
 	readonly backends?: readonly PeerBackend[];
-	/** Present when more are known than the asker knows. */
+	/** Present if this daemon knows more members than the querying one. */
 	readonly members?: readonly Member[];
 };
 
-export type RelayOptions = {
+export type SharedStateOptions = {
 	readonly gateway: GatewayState;
 	readonly directory: DirectoryFollower;
 	readonly onConfiguration: () => void;
@@ -44,8 +44,8 @@
 	readonly signal: AbortSignal;
 };
 
-/** What this daemon knows of the store, for others to compare. */
-export const getStoreKnowledge = ({gateway, directory, members}: Pick<RelayOptions, 'gateway' | 'directory' | 'members'>): StoreKnowledge => {
+/** Versions and ages of this daemon's copy of the store, for other daemons to compare. */
+export const getStoreKnowledge = ({gateway, directory, members}: Pick<SharedStateOptions, 'gateway' | 'directory' | 'members'>): StoreKnowledge => {
 	const {directory: {next}, digest, ageMs} = directory.read();
 	return {
 		configurationVersion: gateway.configuration?.configuration.version ?? -1,
@@ -57,25 +57,25 @@
 	};
 };
 
-const getSharedState = (options: RelayOptions, query: SharedStateQuery): SharedState => {
-	const {members: count, ...known} = getStoreKnowledge(options);
+const makeSharedState = (options: SharedStateOptions, query: SharedStateQuery): SharedState => {
+	const {members: memberCount, ...known} = getStoreKnowledge(options);
 	const configuration = options.gateway.configuration?.configuration;
 	const hasOtherBackends = known.directoryNext > query.directoryNext && known.directoryDigest !== query.directoryDigest;
 	return {
 		...known,
 		...(configuration !== undefined && configuration.version > query.configurationVersion && {configuration}),
 		...(hasOtherBackends && {backends: toPeerBackends(options.directory.read().directory, options.gateway.clocks.steady())}),
-		...(count > query.members && {members: options.members.list()}),
+		...(memberCount > query.members && {members: options.members.list()}),
 	};
 };
 
-export const readAll = async (stream: http.IncomingMessage): Promise<string> => {
+export const readMessage = async (stream: http.IncomingMessage): Promise<string> => {
 	const chunks: Buffer[] = [];
 	let bytes = 0;
 	for await (const chunk of stream as AsyncIterable<Buffer>) {
 		bytes += chunk.length;
-		if (bytes > maxReplyBytes) {
-			throw new Error('the peer sends too much');
+		if (bytes > maxMessageBytes) {
+			throw new Error('peer message exceeds the size limit');
 		}
 
 		chunks.push(chunk);
@@ -84,14 +84,14 @@
 	return Buffer.concat(chunks).toString('utf8');
 };
 
-/** Answers peers on this daemon's peer address. */
-export const listenForPeers = async (options: RelayOptions): Promise<void> => {
+/** Serves JSON-RPC requests of peers on this daemon's peer address. */
+export const listenForPeers = async (options: SharedStateOptions): Promise<void> => {
 	const {gateway, signal} = options;
 	const rpc = new JSONRPCServer();
-	rpc.addMethod('shared_state', (query: SharedStateQuery) => getSharedState(options, query));
-	const answer = async (request: http.IncomingMessage, response: http.ServerResponse): Promise<void> => {
+	rpc.addMethod('shared_state', (query: SharedStateQuery) => makeSharedState(options, query));
+	const handleRequest = async (request: http.IncomingMessage, response: http.ServerResponse): Promise<void> => {
 		try {
-			const reply = await rpc.receiveJSON(await readAll(request));
+			const reply = await rpc.receiveJSON(await readMessage(request));
 			response.setHeader('Content-Type', 'application/json');
 			response.end(JSON.stringify(reply));
 		} catch (error) {
@@ -101,7 +101,7 @@
 	};
 
 	const server = http.createServer((request, response) => {
-		void answer(request, response);
+		void handleRequest(request, response);
 	});
 	const {host, port} = parseHostAndPort(gateway.settings.listen.peers);
 	await new Promise<void>(resolve => {
--- a/packages/gateway/src/peers/sum-other-loads.ts
+++ b/packages/gateway/src/peers/sum-other-loads.ts
@@ -1,14 +1,14 @@
-/** Load that other daemons put on each backend server, as they last told. */
+/** Sums the load of other daemons on each backend server from their latest reports. */
 import {
 	computeServiceSpeed, firstPace, noReading, readRecord,
 } from '@shallotpass/core/placement/engine-pace.js';
 import {countedRanks} from '../calls/backend-registry.js';
 import {type GatewayState} from '../gateway-state.js';
 
-/** Load that was told longer ago says nothing, in milliseconds: four times the time between two rounds. */
-const oldestLoadMs = 1200;
+/** Loads reported longer ago are ignored. Four gossip intervals. */
+const maxLoadAgeMs = 1200;
 
-const learnServiceSpeeds = ({registry, clocks}: GatewayState): void => {
+const updateServiceSpeeds = ({registry, clocks}: GatewayState): void => {
 	const now = clocks.steady();
 	for (const [service, states] of registry.byService) {
 		const readings = states.flatMap(state => [readRecord(state.reading, now), state.othersReading]);
@@ -16,9 +16,9 @@
 	}
 };
 
-/** Adds up what the other daemons run at each backend server, and what was seen of their speed. */
+/** Sums the running calls, pending prompt tokens and speed measurements of the other daemons for each backend server. */
 export const sumOtherLoads = (gateway: GatewayState): void => {
-	const since = gateway.clocks.steady() - oldestLoadMs;
+	const since = gateway.clocks.steady() - maxLoadAgeMs;
 	for (const state of gateway.registry.byId.values()) {
 		state.othersRunning = 0;
 		state.othersPendingTokens.fill(0);
@@ -46,5 +46,5 @@
 		}
 	}
 
-	learnServiceSpeeds(gateway);
+	updateServiceSpeeds(gateway);
 };
--- a/packages/gateway/src/start-gateway.ts
+++ b/packages/gateway/src/start-gateway.ts
@@ -19,8 +19,8 @@
 import {countDaemons, type GatewayState} from './gateway-state.js';
 import {makeOrderPlanner} from './leader/order-plan.js';
 import {startGossip} from './peers/gossip.js';
-import {askPeers, isServedByPeers, type PeerAsker} from './peers/ask-peers.js';
-import {getStoreKnowledge, listenForPeers, type RelayOptions} from './peers/shared-state.js';
+import {isServedByPeers, type PeerQuerier, startPeerQueries} from './peers/ask-peers.js';
+import {getStoreKnowledge, listenForPeers, type SharedStateOptions} from './peers/shared-state.js';
 import {type Platform, type Topic} from './ports.js';
 
 /** Calls in flight are looked at this often while the daemon leaves, in milliseconds. */
@@ -136,7 +136,7 @@
 	const ready = await listenForReady(state);
 	const scrapes = listenForMetrics(state);
 	const plan = makeOrderPlanner(state);
-	const parts: {duties?: LeaderTask; relay?: RelayOptions; asker?: PeerAsker} = {};
+	const parts: {duties?: LeaderTask; relay?: SharedStateOptions; asker?: PeerQuerier} = {};
 	const isPaused = (): boolean => parts.relay === undefined ? state.settings.instance.firstStart : isServedByPeers(parts.relay);
 	const getLongestPauseMs = (): number => getLongestPause(parts.relay?.getStoreRole() ?? firstRole);
 	const directory = followDirectory({
@@ -144,9 +144,9 @@
 	});
 	const gossip = await startGossip({
 		gateway: state, platform, signal,
-		getOwn: members => ({leaseOffset: parts.duties?.getLeaseOffset() ?? -1, known: getStoreKnowledge({gateway: state, directory, members})}),
-		onKnown(known, address) {
-			parts.asker?.hear(known, address);
+		getReportInput: members => ({leaseOffset: parts.duties?.getLeaseOffset() ?? -1, known: getStoreKnowledge({gateway: state, directory, members})}),
+		onStoreKnowledge(known, address) {
+			parts.asker?.handleStoreKnowledge(known, address);
 		},
 	});
 	parts.duties = startLeaderTask({
@@ -154,7 +154,7 @@
 			answeredAt.set('cloud', performance.now());
 		}, onOrderAccepted: plan.recordAccepted, onOrderRefused: plan.recordRefusal, isFulfilled: plan.isFulfilled, getStoreRole: gossip.getStoreRole, signal,
 	});
-	const relay: RelayOptions = {
+	const relay: SharedStateOptions = {
 		gateway: state, directory, onConfiguration: listener.applyLimits, getStoreRole: gossip.getStoreRole, members: gossip.members, signal,
 	};
 	parts.relay = relay;
@@ -162,7 +162,7 @@
 		gateway: state, platform, isPaused, getLongestPauseMs, signal, onTaken: listener.applyLimits,
 	});
 	await listenForPeers(relay);
-	parts.asker = askPeers(relay);
+	parts.asker = startPeerQueries(relay);
 	writeFigures(state, storeCalls, signal);
 	state.log.write('state', 'started', {incarnation: state.incarnation, listen: state.settings.listen, isFirstStart: state.settings.instance.firstStart});
 	return {
