--- a/packages/gateway/src/peers/ask-peers.ts
+++ b/packages/gateway/src/peers/ask-peers.ts
@@ -8,7 +8,7 @@
 import {type GatewayState, peerSilentMs} from '../gateway-state.js';
 import {parseHostAndPort} from '../host-and-port.js';
 import {pauseFor} from '../pause.js';
-import {getConfigurationStaleMs, takeConfiguration} from '../store/follow-configuration.js';
+import {applyConfiguration, getConfigurationStaleMs} from '../store/follow-configuration.js';
 import {getDirectoryPollMs} from '../store/follow-directory.js';
 import {
 	readMessage, type SharedState, type SharedStateOptions, type SharedStateQuery,
@@ -79,12 +79,12 @@
 		members.add(member);
 	}
 
-	if (state.configuration !== undefined && takeConfiguration(options.gateway, state.configuration, 'peer')) {
+	if (state.configuration !== undefined && applyConfiguration(options.gateway, state.configuration, 'peer')) {
 		onConfiguration();
 	}
 
 	if (state.backends !== undefined) {
-		directory.takeFromPeer({backends: state.backends, next: state.directoryNext}, state.directoryAgeMs);
+		directory.adoptFromPeer({backends: state.backends, next: state.directoryNext}, state.directoryAgeMs);
 	}
 
 	confirmFreshness(options, state);
--- a/packages/gateway/src/start-gateway.ts
+++ b/packages/gateway/src/start-gateway.ts
@@ -138,9 +138,9 @@
 	const plan = makeOrderPlanner(state);
 	const parts: {duties?: LeaderTask; relay?: SharedStateOptions; asker?: PeerQuerier} = {};
 	const isPaused = (): boolean => parts.relay === undefined ? state.settings.instance.firstStart : isServedByPeers(parts.relay);
-	const getLongestPauseMs = (): number => getLongestPause(parts.relay?.getStoreRole() ?? firstRole);
+	const getMaxRetryDelayMs = (): number => getLongestPause(parts.relay?.getStoreRole() ?? firstRole);
 	const directory = followDirectory({
-		gateway: state, platform, isPaused, getLongestPauseMs, signal,
+		gateway: state, platform, isPaused, getMaxRetryDelayMs, signal,
 	});
 	const gossip = await startGossip({
 		gateway: state, platform, signal,
@@ -159,7 +159,7 @@
 	};
 	parts.relay = relay;
 	void followConfiguration({
-		gateway: state, platform, isPaused, getLongestPauseMs, signal, onTaken: listener.applyLimits,
+		gateway: state, platform, isPaused, getMaxRetryDelayMs, signal, onConfiguration: listener.applyLimits,
 	});
 	await listenForPeers(relay);
 	parts.asker = startPeerQueries(relay);
--- a/packages/gateway/src/store/follow-configuration.ts
+++ b/packages/gateway/src/store/follow-configuration.ts
@@ -1,4 +1,4 @@
-/** Keeps the newest configuration in force; it never goes back to an older version in one life of the process. */
+/** Follows the configuration in the store and applies the newest version. A process never returns to an older version. */
 import {toIndexedConfiguration} from '@shallotpass/core/calls/index-configuration.js';
 import {type ServingConfiguration} from '@shallotpass/core/calls/serving-configuration.js';
 import {type GatewaySettings} from '../gateway-settings.js';
@@ -8,8 +8,8 @@
 
 export type ConfigurationSource = 'store' | 'peer';
 
-/** Puts a configuration in force unless a newer one is. */
-export const takeConfiguration = (gateway: GatewayState, configuration: ServingConfiguration, source: ConfigurationSource): boolean => {
+/** Applies a configuration if it is newer than the current one. Returns whether it was applied. */
+export const applyConfiguration = (gateway: GatewayState, configuration: ServingConfiguration, source: ConfigurationSource): boolean => {
 	const current = gateway.configuration?.configuration.version;
 	if (current !== undefined && configuration.version <= current) {
 		return false;
@@ -22,28 +22,28 @@
 	return true;
 };
 
-/** What is known of the configuration is out of date after this part of the span in which bounds hold again after a disruption. */
-const staleAfterPartOfStable = 0.75;
+/** Share of `stableMs`, the time after a disruption until bounds hold again, after which the configuration counts as out of date. */
+const staleShareOfStable = 0.75;
 
-/** A poll of the reader waits for less, so that those who ask it do not take it for out of date. */
-const pollPartOfStable = 0.45;
+/** Share of `stableMs` that a poll waits. It is below the stale share, so that daemons that query the reading daemon do not find it out of date. */
+const pollShareOfStable = 0.45;
 
-export const getConfigurationStaleMs = (bounds: GatewaySettings['bounds']): number => Math.floor(bounds.stableMs * staleAfterPartOfStable);
+export const getConfigurationStaleMs = (bounds: GatewaySettings['bounds']): number => Math.floor(bounds.stableMs * staleShareOfStable);
 
-const getConfigurationPollMs = (bounds: GatewaySettings['bounds']): number => Math.floor(bounds.stableMs * pollPartOfStable);
+const getConfigurationPollMs = (bounds: GatewaySettings['bounds']): number => Math.floor(bounds.stableMs * pollShareOfStable);
 
-export type ConfigurationOptions = {
+export type FollowConfigurationOptions = {
 	readonly gateway: GatewayState;
 	readonly platform: Platform;
-	readonly onTaken: () => void;
+	readonly onConfiguration: () => void;
 	readonly isPaused: () => boolean;
-	readonly getLongestPauseMs: () => number;
+	readonly getMaxRetryDelayMs: () => number;
 	readonly signal: AbortSignal;
 };
 
-export const followConfiguration = async ({gateway, platform, onTaken, isPaused, getLongestPauseMs, signal}: ConfigurationOptions): Promise<void> => {
-	let isAway = false;
-	const takeRecords = (records: readonly KeyedRecord[]): void => {
+export const followConfiguration = async ({gateway, platform, onConfiguration, isPaused, getMaxRetryDelayMs, signal}: FollowConfigurationOptions): Promise<void> => {
+	let isUnavailable = false;
+	const applyRecords = (records: readonly KeyedRecord[]): void => {
 		const newest = records.findLast(record => record.key === platform.records.configurationKey && record.value !== undefined);
 		if (newest?.value === undefined) {
 			return;
@@ -55,8 +55,8 @@
 			return;
 		}
 
-		if (takeConfiguration(gateway, configuration, 'store')) {
-			onTaken();
+		if (applyConfiguration(gateway, configuration, 'store')) {
+			onConfiguration();
 		}
 	};
 
@@ -64,23 +64,23 @@
 		store: platform.store,
 		topic: 'configuration',
 		waitMs: getConfigurationPollMs(gateway.settings.bounds),
-		everyMs: 0,
+		minIntervalMs: 0,
 		isPaused,
-		getLongestPauseMs,
+		getMaxRetryDelayMs,
 		signal,
 		handlers: {
-			onListing: takeRecords,
-			onRecords: takeRecords,
-			onFresh() {
+			onListing: applyRecords,
+			onRecords: applyRecords,
+			onResponse() {
 				gateway.configurationCheckedAt = gateway.clocks.steady();
-				if (isAway) {
-					isAway = false;
+				if (isUnavailable) {
+					isUnavailable = false;
 					gateway.log.write('state', 'store_regained', {topic: 'configuration'});
 				}
 			},
 			onFailure(reason) {
-				if (!isAway && !signal.aborted) {
-					isAway = true;
+				if (!isUnavailable && !signal.aborted) {
+					isUnavailable = true;
 					gateway.log.write('state', 'store_lost', {topic: 'configuration', reason});
 				}
 			},
--- a/packages/gateway/src/store/follow-directory.ts
+++ b/packages/gateway/src/store/follow-directory.ts
@@ -1,4 +1,4 @@
-/** Keeps the list of backend servers by what they write of themselves in the store. */
+/** Maintains the directory of backend servers from the entries that they write into the store. */
 import {
 	dropMissing, foldDirectory, takeListing, type DirectoryRecord,
 } from '@shallotpass/core/directory/fold-directory.js';
@@ -12,48 +12,49 @@
 import {followTopic} from './follow-topic.js';
 
 /**
- * Backend servers write every 1.2 s, so a poll that waits returns at once; this pause bounds the
- * polls. With the ways to those who ask the reader, and the time after which they read themselves, it
- * stays below the time in which a leaving one must get no more calls.
+ * Polling interval as a share of `drainMs`. Backend servers write every 1.2 s, so a long poll returns
+ * quickly, and this interval limits the number of polls. Together with the delay until other daemons
+ * receive the directory, or read it themselves, it stays below the time within which calls to a leaving
+ * backend server must stop.
  */
-const pollPartOfDrain = 0.2;
+const pollShareOfDrain = 0.2;
 
-export const getDirectoryPollMs = (bounds: GatewaySettings['bounds']): number => Math.floor(bounds.drainMs * pollPartOfDrain);
+export const getDirectoryPollMs = (bounds: GatewaySettings['bounds']): number => Math.floor(bounds.drainMs * pollShareOfDrain);
 
 /**
- * A backend server that lives has written its entry again within this time after the store is
- * seen to be back: they write every 1.2 s. With the 1.3 s in which a return is noticed it stays
+ * Time after the store is reachable again within which every running backend server has rewritten its
+ * entry, which it does every 1.2 s. Together with the 1.3 s until the recovery is detected, it stays
  * below the 3 s after which the bounds hold again.
  */
-const lapseMs = 1700;
+const entryRewriteMs = 1700;
 
-/** SharedState of a peer this young mean that the store served it, and only this daemon was cut off. */
+/** If a peer's directory is younger than this, the store was available to the peer and only this daemon was cut off. */
 const peerFreshMs = 2000;
 
-/** How often entries that were missing for too long are looked for, in milliseconds. */
-const missingCheckMs = 500;
+/** Interval between checks for entries that have been missing for too long. */
+const missingCheckIntervalMs = 500;
 
 export type DirectoryFollower = {
-	/** What this daemon believes, and how old it is. */
+	/** Returns this daemon's directory and its age. */
 	readonly read: () => {readonly directory: Directory; readonly digest: string; readonly ageMs: number};
-	/** Takes what a peer believes when that is newer. */
-	readonly takeFromPeer: (directory: PeerDirectory, ageMs: number) => void;
-	/** Notes that a peer knows the same backend servers, up to a record of the store. */
+	/** Adopts a peer's directory if it is newer. */
+	readonly adoptFromPeer: (directory: PeerDirectory, ageMs: number) => void;
+	/** Records that a peer has the same backend servers as of the store offset `next`. */
 	readonly confirm: (next: number, ageMs: number) => void;
 };
 
-export type DirectoryOptions = {
+export type FollowDirectoryOptions = {
 	readonly gateway: GatewayState;
 	readonly platform: Platform;
 	readonly isPaused: () => boolean;
-	readonly getLongestPauseMs: () => number;
+	readonly getMaxRetryDelayMs: () => number;
 	readonly signal: AbortSignal;
 };
 
-export const followDirectory = ({gateway, platform, isPaused, getLongestPauseMs, signal}: DirectoryOptions): DirectoryFollower => {
+export const followDirectory = ({gateway, platform, isPaused, getMaxRetryDelayMs, signal}: FollowDirectoryOptions): DirectoryFollower => {
 	let directory = emptyDirectory;
 	let digest = digestDirectory(directory);
-	let isAway = false;
+	let isUnavailable = false;
 	let lapsesUntil = 0;
 	let freshAt = Number.NEGATIVE_INFINITY;
 	let peerFreshAt = Number.NEGATIVE_INFINITY;
@@ -65,7 +66,7 @@
 		entry: record.value === undefined ? undefined : (platform.records.toBackendEntry(record.key, record.value) ?? 'unreadable'),
 	});
 
-	const take = (next: Directory): void => {
+	const applyDirectory = (next: Directory): void => {
 		directory = dropMissing(next, now());
 		digest = digestDirectory(directory);
 		for (const change of takeDirectory(gateway.registry, directory, {now: now(), drainMs: gateway.settings.bounds.drainMs})) {
@@ -78,13 +79,13 @@
 		gateway.directorySince ??= now();
 	};
 
-	const context = () => ({now: now(), lapsesUntil});
+	const makeFoldContext = () => ({now: now(), lapsesUntil});
 	const timer = setInterval(() => {
 		const dropped = dropMissing(directory, now());
-		if (!isAway && dropped !== directory) {
-			take(dropped);
+		if (!isUnavailable && dropped !== directory) {
+			applyDirectory(dropped);
 		}
-	}, missingCheckMs);
+	}, missingCheckIntervalMs);
 	signal.addEventListener('abort', () => {
 		clearInterval(timer);
 	}, {once: true});
@@ -93,59 +94,59 @@
 		store: platform.store,
 		topic: 'directory',
 		waitMs: getDirectoryPollMs(gateway.settings.bounds),
-		everyMs: getDirectoryPollMs(gateway.settings.bounds),
+		minIntervalMs: getDirectoryPollMs(gateway.settings.bounds),
 		isPaused,
-		getLongestPauseMs,
+		getMaxRetryDelayMs,
 		signal,
 		handlers: {
 			onListing(records, end) {
-				take(takeListing(directory, records.map(record => toRecord(record)), end, context()));
+				applyDirectory(takeListing(directory, records.map(record => toRecord(record)), end, makeFoldContext()));
 			},
 			onRecords(records) {
-				take(foldDirectory(directory, records.map(record => toRecord(record)), context()));
+				applyDirectory(foldDirectory(directory, records.map(record => toRecord(record)), makeFoldContext()));
 			},
-			onFresh() {
+			onResponse() {
 				const wasStale = Number.isFinite(freshAt) && now() > freshAt + peerFreshMs;
 				freshAt = now();
-				if (isAway || wasStale) {
-					isAway = false;
-					// A daemon that was cut off while the store served others saw no entry lapse: what was
-					// removed has gone, and would get calls after it left.
+				if (isUnavailable || wasStale) {
+					isUnavailable = false;
+					// If the store was available to other daemons, entries did not expire because of an outage:
+					// a removed backend server has really left and must get no more calls.
 					const wasAwayForAll = now() > peerFreshAt + peerFreshMs;
-					lapsesUntil = wasAwayForAll ? now() + lapseMs : 0;
+					lapsesUntil = wasAwayForAll ? now() + entryRewriteMs : 0;
 					gateway.log.write('state', 'store_regained', {topic: 'directory', wasAwayForAll});
 				}
 			},
 			onFailure(reason) {
-				lapsesUntil = now() + lapseMs;
-				if (!isAway && !signal.aborted) {
-					isAway = true;
+				lapsesUntil = now() + entryRewriteMs;
+				if (!isUnavailable && !signal.aborted) {
+					isUnavailable = true;
 					gateway.log.write('state', 'store_lost', {topic: 'directory', reason});
 				}
 			},
 		},
 	});
 
-	const notePeerFresh = (theirNext: number, theirFreshAt: number): void => {
-		peerFreshAt = Math.max(peerFreshAt, theirFreshAt);
-		if (theirNext >= directory.next) {
-			freshAt = Math.max(freshAt, theirFreshAt);
+	const recordPeerFreshness = (peerNext: number, refreshedAt: number): void => {
+		peerFreshAt = Math.max(peerFreshAt, refreshedAt);
+		if (peerNext >= directory.next) {
+			freshAt = Math.max(freshAt, refreshedAt);
 		}
 	};
 
 	return {
 		read: () => ({directory, digest, ageMs: now() - freshAt}),
-		takeFromPeer(theirs, ageMs) {
-			const theirFreshAt = now() - ageMs;
-			if (theirs.next > directory.next) {
-				gateway.log.write('state', 'directory_from_peer', {next: theirs.next, before: directory.next, ageMs: Math.round(ageMs)});
-				take(takePeerDirectory(directory, theirs, now()));
+		adoptFromPeer(peerDirectory, ageMs) {
+			const refreshedAt = now() - ageMs;
+			if (peerDirectory.next > directory.next) {
+				gateway.log.write('state', 'directory_from_peer', {next: peerDirectory.next, before: directory.next, ageMs: Math.round(ageMs)});
+				applyDirectory(takePeerDirectory(directory, peerDirectory, now()));
 			}
 
-			notePeerFresh(theirs.next, theirFreshAt);
+			recordPeerFreshness(peerDirectory.next, refreshedAt);
 		},
 		confirm(next, ageMs) {
-			notePeerFresh(next, now() - ageMs);
+			recordPeerFreshness(next, now() - ageMs);
 			directory = {...directory, next: Math.max(directory.next, next)};
 		},
 	};
--- a/packages/gateway/src/store/follow-topic.ts
+++ b/packages/gateway/src/store/follow-topic.ts
@@ -1,62 +1,62 @@
 /**
- * Follows one topic of the platform's store: the newest record of each key first, then all
- * records in order. Polls; the store answers a poll as soon as there is a record.
+ * Follows one topic of the platform's store: first reads the newest record of each key, then all further
+ * records in order by long polling.
  */
 import {performance} from 'node:perf_hooks';
 import {pauseFor} from '../pause.js';
 import {type KeyedRecord, type Store, type Topic} from '../ports.js';
 
-/** A reply later than this beyond the wait that was asked for means that the connection is silent; the store answers in 4 ms. */
-const silenceMs = 350;
+/** Time beyond the requested wait after which a connection counts as dead. The store answers in 4 ms. */
+const responseMarginMs = 350;
 
-/** Time for a listing, in milliseconds. */
-const listingMs = 1500;
+/** Timeout for reading the newest records. */
+const listingTimeoutMs = 1500;
 
-/** First pause after a failure, in milliseconds; it doubles with each one in a row. Short, since a store that turned away one call may take the next. */
-const failurePauseMs = 250;
+/** Initial retry delay, doubled with each consecutive failure. It is short because a store that refused one call may accept the next. */
+const initialRetryDelayMs = 250;
 
-/** Between two looks whether somebody else still follows for this daemon, in milliseconds. */
-const pausedLookMs = 200;
+/** Interval between checks whether other daemons still read the store on behalf of this one. */
+const pausedPollMs = 200;
 
 export type TopicHandlers = {
 	readonly onListing: (records: readonly KeyedRecord[], end: number) => void;
 	readonly onRecords: (records: readonly KeyedRecord[], end: number) => void;
-	/** The store has answered: with what follows from this answer, what is known is the newest as of now. Told first. */
-	readonly onFresh: () => void;
+	/** Called first on each response of the store: with the records of this response, the state is up to date as of now. */
+	readonly onResponse: () => void;
 	readonly onFailure: (reason: string) => void;
 };
 
-export type FollowOptions = {
+export type FollowTopicOptions = {
 	readonly store: Store;
 	readonly topic: Topic;
-	/** Milliseconds that a poll waits at the store for a record. */
+	/** Time that the store may hold a poll until a record arrives. */
 	readonly waitMs: number;
-	/** Time between two polls that brought records, in milliseconds; bounds the calls on a busy topic. */
-	readonly everyMs: number;
-	/** While true, somebody else follows for this daemon and nothing is asked. */
+	/** Shortest interval between polls that return records. Limits the number of calls on a busy topic. */
+	readonly minIntervalMs: number;
+	/** While true, other daemons read the store on behalf of this one, and no calls are made. */
 	readonly isPaused: () => boolean;
-	/** Longest pause after failures in a row, in milliseconds: while the store is away for all, each call is paid for in vain. */
-	readonly getLongestPauseMs: () => number;
+	/** Longest retry delay. During an outage of the store, every failing call is still billed. */
+	readonly getMaxRetryDelayMs: () => number;
 	readonly handlers: TopicHandlers;
 	readonly signal: AbortSignal;
 };
 
-const list = async (options: FollowOptions): Promise<number | undefined> => {
+const readNewestRecords = async (options: FollowTopicOptions): Promise<number | undefined> => {
 	const {store, topic, handlers, signal} = options;
-	const reply = await store.readNewest(topic, {timeoutMs: listingMs, signal});
+	const reply = await store.readNewest(topic, {timeoutMs: listingTimeoutMs, signal});
 	if (reply.kind === 'failed') {
 		handlers.onFailure(reply.reason);
 		return undefined;
 	}
 
-	handlers.onFresh();
+	handlers.onResponse();
 	handlers.onListing(reply.records, reply.end);
 	return reply.end;
 };
 
-const poll = async (options: FollowOptions, from: number): Promise<{next: number | undefined; hasFailed: boolean; isEmpty: boolean}> => {
+const poll = async (options: FollowTopicOptions, from: number): Promise<{next: number | undefined; hasFailed: boolean; isEmpty: boolean}> => {
 	const {store, topic, waitMs, handlers, signal} = options;
-	const reply = await store.read(topic, from, {waitMs, timeoutMs: waitMs + silenceMs, signal});
+	const reply = await store.read(topic, from, {waitMs, timeoutMs: waitMs + responseMarginMs, signal});
 	if (reply.kind === 'failed') {
 		handlers.onFailure(reply.reason);
 		return {next: from, hasFailed: true, isEmpty: true};
@@ -67,7 +67,7 @@
 	}
 
 	const last = reply.records.at(-1);
-	handlers.onFresh();
+	handlers.onResponse();
 	if (reply.records.length > 0) {
 		handlers.onRecords(reply.records, reply.end);
 	}
@@ -76,52 +76,52 @@
 };
 
 /** Runs until the signal is aborted. */
-export const followTopic = async (options: FollowOptions): Promise<void> => {
+export const followTopic = async (options: FollowTopicOptions): Promise<void> => {
 	const {signal} = options;
 	let next: number | undefined;
 	let failures = 0;
-	const pauseAfterFailure = async (): Promise<void> => {
-		const pauseMs = Math.min(options.getLongestPauseMs(), failurePauseMs * (2 ** failures));
+	const delayRetry = async (): Promise<void> => {
+		const delayMs = Math.min(options.getMaxRetryDelayMs(), initialRetryDelayMs * (2 ** failures));
 		failures++;
-		await pauseFor(pauseMs, signal);
+		await pauseFor(delayMs, signal);
 	};
 
 	while (!signal.aborted) {
 		if (options.isPaused()) {
-			// What was missed meanwhile may be gone from the log; a listing has it.
+			// Records missed meanwhile may have been trimmed from the log, so the newest records are read again.
 			next = undefined;
 			failures = 0;
-			// eslint-disable-next-line no-await-in-loop -- one look after the other
-			await pauseFor(pausedLookMs, signal);
+			// eslint-disable-next-line no-await-in-loop -- a poll
+			await pauseFor(pausedPollMs, signal);
 			continue;
 		}
 
 		if (next === undefined) {
-			// eslint-disable-next-line no-await-in-loop -- one poll after the other
-			next = await list(options);
+			// eslint-disable-next-line no-await-in-loop -- polls are sequential
+			next = await readNewestRecords(options);
 			if (next === undefined) {
-				// eslint-disable-next-line no-await-in-loop -- one poll after the other
-				await pauseAfterFailure();
+				// eslint-disable-next-line no-await-in-loop -- polls are sequential
+				await delayRetry();
 			}
 
 			continue;
 		}
 
 		const polledAt = performance.now();
-		// eslint-disable-next-line no-await-in-loop -- one poll after the other
+		// eslint-disable-next-line no-await-in-loop -- polls are sequential
 		const polled = await poll(options, next);
 		next = polled.next;
 		if (polled.hasFailed) {
-			// eslint-disable-next-line no-await-in-loop -- one poll after the other
-			await pauseAfterFailure();
+			// eslint-disable-next-line no-await-in-loop -- polls are sequential
+			await delayRetry();
 			continue;
 		}
 
 		failures = 0;
-		const leftMs = polledAt + options.everyMs - performance.now();
-		if (!polled.isEmpty && leftMs > 0) {
-			// eslint-disable-next-line no-await-in-loop -- one poll after the other
-			await pauseFor(leftMs, signal);
+		const remainingMs = polledAt + options.minIntervalMs - performance.now();
+		if (!polled.isEmpty && remainingMs > 0) {
+			// eslint-disable-next-line no-await-in-loop -- polls are sequential
+			await pauseFor(remainingMs, signal);
 		}
 	}
 };
