--- a/packages/gateway/src/clocks.ts
+++ b/packages/gateway/src/clocks.ts
@@ -1,28 +1,28 @@
 /**
- * Clocks of a daemon on instances that are suspended and whose time of day jumps.
+ * Clocks for a daemon whose instance may be suspended and whose time of day may jump.
  *
- * `steady` orders what happens in this process; it stands still while the instance is suspended.
- * The time of day goes on, but may jump. Neither alone tells a suspension from a jump, so a
- * disagreement of the two is counted, and whoever holds a lease takes each one for a lapse.
- * True time, for windows that all daemons share, is the time of day at start carried on by the
- * steady clock and kept in step with the median of the other daemons.
+ * `steady` is monotonic and orders events within this process, but stops while the instance is suspended.
+ * The time of day continues during a suspension, but may jump. Since neither clock alone detects both, each
+ * disagreement between them is counted, and a lease holder treats every disagreement as an expired lease.
+ * `trueTime` is used for windows that all daemons share. It is the time of day at the start, advanced by the
+ * steady clock and corrected to the median of all daemons.
  */
 import {performance} from 'node:perf_hooks';
 
 export type Clocks = {
 	readonly steady: () => number;
 	readonly trueTime: () => number;
-	/** How often the two clocks were seen to disagree; grows after each suspension and each jump. */
+	/** Returns how often the two clocks were found to disagree. The count grows after each suspension and each jump. */
 	readonly countDisagreements: () => number;
-	/** Offsets of other daemons: their true time less this daemon's steady clock. */
-	readonly takeOffsets: (offsets: readonly number[]) => void;
+	/** Corrects true time by the offsets of other daemons: their true time minus this daemon's steady clock. */
+	readonly applyPeerOffsets: (offsets: readonly number[]) => void;
 };
 
-/** A difference beyond this is no drift: clocks of one instance drift by less than 1 ms a minute, and a busy processor delays one reading. */
+/** Larger differences count as a disagreement. Clocks of one instance drift by less than 1 ms a minute, and a busy processor may delay one of the two reads. */
 const disagreementMs = 150;
 
-/** True time follows the median when it is further away than this; the reports of others are up to 100 ms old at a busy daemon. */
-const correctionMs = 150;
+/** Smaller differences from the median are not corrected. The reports of other daemons are up to 100 ms old on a busy daemon. */
+const minCorrectionMs = 150;
 
 const getMedian = (values: readonly number[]): number => {
 	const sorted = values.toSorted((left, right) => left - right);
@@ -36,29 +36,29 @@
 
 const systemSources: ClockSources = {steady: () => performance.now(), timeOfDay: () => Date.now()};
 
-export const openClocks = ({steady, timeOfDay}: ClockSources = systemSources): Clocks => {
+export const makeClocks = ({steady, timeOfDay}: ClockSources = systemSources): Clocks => {
 	let trueOffset = timeOfDay() - steady();
-	let seenOffset = trueOffset;
+	let lastOffset = trueOffset;
 	let disagreements = 0;
 	return {
 		steady,
 		trueTime: () => steady() + trueOffset,
 		countDisagreements() {
 			const offset = timeOfDay() - steady();
-			if (Math.abs(offset - seenOffset) > disagreementMs) {
+			if (Math.abs(offset - lastOffset) > disagreementMs) {
 				disagreements++;
 			}
 
-			seenOffset = offset;
+			lastOffset = offset;
 			return disagreements;
 		},
-		takeOffsets(offsets) {
+		applyPeerOffsets(offsets) {
 			if (offsets.length === 0) {
 				return;
 			}
 
 			const median = getMedian([...offsets, trueOffset]);
-			if (Math.abs(median - trueOffset) > correctionMs) {
+			if (Math.abs(median - trueOffset) > minCorrectionMs) {
 				trueOffset = median;
 			}
 		},
--- a/packages/gateway/src/gateway-state.ts
+++ b/packages/gateway/src/gateway-state.ts
@@ -1,4 +1,4 @@
-/** What the parts of one gateway daemon share. Each field has one writer, which its comment names. */
+/** State shared by the components of one gateway daemon. The comment of each mutable field names its only writer. */
 import {type AccountBucket} from '@shallotpass/core/quotas/account-bucket.js';
 import {type CrashRegister} from '@shallotpass/core/retries/crash-register.js';
 import {type GossipReport} from '@shallotpass/core/gossip/gossip-report.js';
@@ -14,18 +14,18 @@
 import {type GatewaySettings} from './gateway-settings.js';
 import {type Engines, type WireFormat} from './ports.js';
 
-/** What another daemon, or a relay for the daemons of a zone, told last. */
-export type HeardReport = GossipReport & {
-	/** On the steady clock. */
+/** Latest report of another daemon, or of a relay on behalf of several daemons. */
+export type PeerReport = GossipReport & {
+	/** When the report arrived, on the steady clock. */
 	readonly heardAt: number;
-	/** Its true time less this daemon's steady clock when the reports came. */
+	/** The sender's true time minus this daemon's steady clock on arrival. */
 	readonly clockOffset: number;
 };
 
 export type GatewayState = {
-	/** Replaced when the settings file changes; listeners keep their addresses. Written by the reload. */
+	/** Replaced when the settings file changes, except the addresses of listeners. Written by `reload`. */
 	settings: GatewaySettings;
-	/** Names one life of this process. */
+	/** Unique id of this run of the process. */
 	readonly incarnation: string;
 	readonly clocks: Clocks;
 	readonly log: EventLog;
@@ -33,39 +33,40 @@
 	readonly wire: WireFormat;
 	readonly engines: Engines;
 	readonly random: () => number;
-	/** Written by the follower of the configuration. */
+	/** Written by `applyConfiguration`. */
 	configuration: IndexedConfiguration | undefined;
-	/** When the configuration was last known to be the newest, on the steady clock; same writer. */
+	/** When the configuration was last confirmed to be the newest, on the steady clock. Written by `followConfiguration` and the peer queries. */
 	configurationCheckedAt: number;
-	/** Written by the follower of the directory and by the calls. */
+	/** Written by the directory follower and by calls. */
 	readonly registry: BackendRegistry;
-	/** When the directory was first read, on the steady clock; same writer. */
+	/** When the directory was first read, on the steady clock. Written by the directory follower. */
 	directorySince: number | undefined;
-	/** Written by the calls. */
+	/** Written by calls. */
 	readonly buckets: Map<string, AccountBucket>;
 	readonly spending: Map<string, Spending>;
-	/** What accounts spent in each part of the window before this daemon started, as of a moment of true time. Written by the duty task. */
+	/** Spending of accounts in each part of the quota window before this daemon started, as of the true time `at`. Written by the leader task. */
 	inherited: {readonly spent: Readonly<Record<string, readonly number[]>>; readonly at: number} | undefined;
-	/** Set once it is known what accounts spent before, or can't be known. Written by the duty task. */
+	/** Whether the earlier spending of accounts has been loaded, or cannot be loaded. Written by the leader task. */
 	hasSpending: boolean;
 	/** Start of this process, on the steady clock. */
 	readonly startedAt: number;
 	readonly allowances: Map<string, RepeatAllowance>;
 	readonly usage: UsageTally;
 	crashes: CrashRegister;
-	/** Prompt tokens to read, by service; written by the calls. */
+	/** Rate of prompt tokens to process, by service. Written by calls. */
 	readonly workRates: Map<string, WorkRate>;
-	/** Written by the peer reports. */
-	readonly peers: Map<string, HeardReport>;
-	/** Set at SIGTERM; on the steady clock. */
+	/** Latest reports of peers, by incarnation. Written by gossip. */
+	readonly peers: Map<string, PeerReport>;
+	/** When draining began after SIGTERM, on the steady clock. */
 	drainingSince: number | undefined;
-	/** Calls in flight. */
+	/** Number of calls in flight. */
 	activeCalls: number;
 };
 
-/** Peers that were silent for so long are not counted; reports come three times a second. */
+/** Peers whose last report is older than this are not counted. Reports arrive three times a second. */
 export const peerSilentMs = 2500;
 
+/** Counts this daemon and all daemons covered by recent reports. */
 export const countDaemons = (state: GatewayState): number => {
 	const since = state.clocks.steady() - peerSilentMs;
 	let daemons = 1;
--- a/packages/gateway/src/host-and-port.ts
+++ b/packages/gateway/src/host-and-port.ts
@@ -1,4 +1,4 @@
-/** Splits addresses of the form `10.1.0.16:8360`. */
+/** Parses addresses of the form `10.1.0.16:8360`. */
 
 export type HostAndPort = {
 	readonly host: string;
--- a/packages/gateway/src/pause.ts
+++ b/packages/gateway/src/pause.ts
@@ -1,4 +1,4 @@
-/** A pause that ends early, and quietly, when the signal is aborted. */
+/** Waits for the given time. Returns early, without an error, when the signal is aborted. */
 import {setTimeout as sleep} from 'node:timers/promises';
 
 export const pauseFor = async (ms: number, signal: AbortSignal): Promise<void> => {
--- a/packages/gateway/src/peers/gossip.ts
+++ b/packages/gateway/src/peers/gossip.ts
@@ -16,7 +16,7 @@
 import {noteCrash} from '@shallotpass/core/retries/crash-register.js';
 import * as z from 'zod';
 import {isOwnZoneAlone} from '../calls/backend-registry.js';
-import {type GatewayState, type HeardReport, peerSilentMs} from '../gateway-state.js';
+import {type GatewayState, type PeerReport, peerSilentMs} from '../gateway-state.js';
 import {parseHostAndPort} from '../host-and-port.js';
 import {type Platform} from '../ports.js';
 import {joinMembers, type MemberList} from './join-members.js';
@@ -73,7 +73,7 @@
 	/** Reports from daemons that use this one as their relay, by incarnation. */
 	const zoneReports = new Map<string, {readonly report: GossipReport; readonly heardAt: number}>();
 	/** Aggregated reports of the other zones, by incarnation. Both relays of a zone receive them, but only the active relay uses them. */
-	const zoneSums = new Map<string, HeardReport>();
+	const zoneSums = new Map<string, PeerReport>();
 	let isActiveRelay = false;
 	/**
 	 * Whether a received report changes the load of the other daemons on backend servers. With relays
@@ -99,9 +99,9 @@
 	let ownReport = makeReport(gateway, options.getReportInput(memberList));
 	let rounds = 0;
 
-	const toHeardReport = (report: GossipReport): HeardReport => ({...report, heardAt: now(), clockOffset: report.trueTime - now()});
+	const toPeerReport = (report: GossipReport): PeerReport => ({...report, heardAt: now(), clockOffset: report.trueTime - now()});
 
-	const recordPeer = (report: HeardReport): void => {
+	const recordPeer = (report: PeerReport): void => {
 		if (!gateway.peers.has(report.incarnation)) {
 			gateway.log.write('state', 'peer_joined', {
 				peer: report.id, address: report.address, incarnation: report.incarnation, daemons: report.daemons,
@@ -118,7 +118,7 @@
 	const handleAggregate = (report: GossipReport): void => {
 		relayMonitor.recordReport(report.address);
 		if (isZoneSum(report) && report.availabilityZone !== ownZone) {
-			const heard = toHeardReport(report);
+			const heard = toPeerReport(report);
 			zoneSums.set(report.incarnation, heard);
 			if (isActiveRelay) {
 				recordPeer(heard);
@@ -126,7 +126,7 @@
 		}
 
 		if (isTotal(report) && report.availabilityZone === ownZone && !isActiveRelay) {
-			recordPeer(toHeardReport(withoutOwn(report, ownReport)));
+			recordPeer(toPeerReport(withoutOwn(report, ownReport)));
 		}
 	};
 
@@ -177,7 +177,7 @@
 
 		if (!needsRelays(members.size)) {
 			if (!isSum(report)) {
-				recordPeer(toHeardReport(report));
+				recordPeer(toPeerReport(report));
 			}
 
 			return;
@@ -271,7 +271,7 @@
 		const isFresh = ({heardAt}: {readonly heardAt: number}): boolean => heardAt >= since;
 		const others = [...zoneReports.values()];
 		const sum = sumReports(ownReport, others.filter(entry => isFresh(entry)).map(({report}) => report), others.filter(entry => !isFresh(entry)).map(({report}) => report));
-		recordPeer(toHeardReport(withoutOwn(sum, ownReport)));
+		recordPeer(toPeerReport(withoutOwn(sum, ownReport)));
 		const isZoneIsolated = isOwnZoneAlone(gateway.registry, ownZone);
 		const sumForOtherZones = isZoneIsolated ? limitLoads(sum, () => false) : sum;
 		const zones = gateway.settings.instance.zones.filter(zone => zone !== ownZone);
@@ -319,7 +319,7 @@
 		}
 
 		const fresh = [...gateway.peers.values()].filter(peer => peer.heardAt >= now() - peerSilentMs);
-		gateway.clocks.takeOffsets(fresh.map(peer => peer.clockOffset));
+		gateway.clocks.applyPeerOffsets(fresh.map(peer => peer.clockOffset));
 		gateway.metrics.peers.set(fresh.reduce((sum, peer) => sum + peer.daemons, 0));
 		sumOtherLoads(gateway);
 	};
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -1,27 +1,27 @@
-/** What the gateway needs from the platform it runs on, in the product's own terms; `platform/` implements it. */
+/** Interfaces between the gateway and the platform it runs on, in the gateway's own terms. The package in `platform/` implements them. */
 import {type Agent, type IncomingHttpHeaders} from 'node:http';
 import {type PromptPart} from '@shallotpass/core/calls/types.js';
 import {type ServingConfiguration} from '@shallotpass/core/calls/serving-configuration.js';
 import {type BackendEntry} from '@shallotpass/core/directory/types.js';
 import {type BackendOrder} from '@shallotpass/core/duties/fold-lease.js';
 
-/** Topics of the platform's store. The first two are written by others. */
+/** Topics of the platform's store. The gateway only reads the first two. */
 export type Topic = 'configuration' | 'directory' | 'members' | 'lease';
 
 export type KeyedRecord = {
 	readonly offset: number;
 	readonly key: string;
-	/** Undefined: the key was dropped. */
+	/** Undefined if the key was deleted. */
 	readonly value: Uint8Array | undefined;
 };
 
 export type AppendReply =
 	| {readonly kind: 'appended'; readonly offset: number}
-	/** The topic did not end where the caller said. */
+	/** The end of the topic is not the expected one. */
 	| {readonly kind: 'moved'; readonly end: number}
-	/** Nothing was done. */
+	/** The record was not appended. */
 	| {readonly kind: 'refused'; readonly reason: string}
-	/** No reply: it may be done, or be done later if its condition still holds. */
+	/** No response. The record may have been appended, or may still be if its condition holds. */
 	| {readonly kind: 'unknown'; readonly reason: string};
 
 export type ReadReply =
@@ -34,22 +34,22 @@
 	| {readonly kind: 'failed'; readonly reason: string};
 
 type CallOptions = {
-	/** Milliseconds after which the connection is given up. */
+	/** Time after which the connection is closed. */
 	readonly timeoutMs: number;
 	readonly signal: AbortSignal;
 };
 
-/** The platform's store: an ordered log that keeps the newest record of each key. Replies are values; nothing is thrown but for an abort. */
+/** The platform's store: an ordered log that retains the newest record of each key. Failures are returned as values. Only an abort throws. */
 export type Store = {
 	readonly append: (topic: Topic, record: {key: string; value: Uint8Array}, options: CallOptions & {expectedEnd?: number}) => Promise<AppendReply>;
-	/** Waits up to `waitMs` at the store for a record at `from` or behind. */
+	/** Reads records from offset `from` on. The store waits up to `waitMs` if there are none yet. */
 	readonly read: (topic: Topic, from: number, options: CallOptions & {waitMs: number}) => Promise<ReadReply>;
 	readonly readNewest: (topic: Topic, options: CallOptions) => Promise<NewestReply>;
 };
 
 export type CloudReply =
 	| {readonly kind: 'done'}
-	/** What was ordered is not to be had now. */
+	/** The ordered backend servers are currently not available. */
 	| {readonly kind: 'none_offered'}
 	| {readonly kind: 'failed'; readonly reason: string; readonly isKnown: boolean};
 
@@ -63,20 +63,20 @@
 	readonly orderBackends: (authority: DutyAuthority, order: BackendOrder, options: CallOptions) => Promise<CloudReply>;
 };
 
-/** Where the memory of a run that was stopped is to be had. */
+/** Location of the memory (the KV cache) of a stopped run. */
 export type MovedMemory = {
-	/** Address of the backend server where it ran. */
+	/** Address of the backend server that holds it. */
 	readonly from: string;
 	readonly handle: string;
 };
 
 export type MoveReply =
-	/** The run has stopped, and the other backend server has its memory. */
+	/** The run was stopped, and its memory was copied to the other backend server. */
 	| {readonly kind: 'moved'; readonly memory: MovedMemory}
-	/** The run has stopped, and the memory is still where it was. */
+	/** The run was stopped, but its memory was not copied and remains where it is. */
 	| {readonly kind: 'kept'; readonly memory: MovedMemory}
 	| {readonly kind: 'not_running'}
-	/** It may have stopped; its memory cannot be found. */
+	/** The run may have been stopped. The location of its memory is unknown. */
 	| {readonly kind: 'failed'; readonly reason: string};
 
 export type Engines = {
@@ -88,54 +88,54 @@
 	) => Promise<MoveReply>;
 };
 
-/** Records of others, decoded once. Undefined: the bytes cannot be read. */
+/** Decodes records written by others. Decoders return undefined for invalid records. */
 export type RecordFormat = {
 	readonly configurationKey: string;
 	readonly toConfiguration: (value: Uint8Array) => ServingConfiguration | undefined;
 	readonly toBackendEntry: (id: string, value: Uint8Array) => BackendEntry | undefined;
 };
 
-/** What a request says of itself beside its route. */
+/** Request headers of a caller that the gateway evaluates. */
 export type CallerHead = {
 	readonly id: string | undefined;
 	readonly key: string | undefined;
-	/** Milliseconds that the caller waits. */
+	/** Time that the caller will wait for the response. */
 	readonly waitsMs: number | undefined;
 	readonly promptTokens: number | undefined;
 	readonly outputTokens: number | undefined;
 	readonly promptParts: readonly PromptPart[];
 };
 
-export type Forwarding = {
+export type ForwardedCall = {
 	readonly backendId: string;
 	readonly account: string | undefined;
-	/** Milliseconds that the backend server may work. */
+	/** Time left for the backend server to respond. */
 	readonly remainingMs: number;
-	/** 0 is the most urgent; undefined for services without priorities. */
+	/** Priority of the call, 0 being the most urgent. Undefined for services without priorities. */
 	readonly rank: number | undefined;
-	/** Last event that the caller has, where a stream goes on. */
+	/** Id of the last event that the caller received, if a stream is resumed. */
 	readonly lastEventId: string | undefined;
-	/** Memory of the same run, where it goes on elsewhere. */
+	/** Memory of the run, if it continues on another backend server. */
 	readonly memory: MovedMemory | undefined;
 };
 
-/** What the head of a backend server's answer says. */
-export type BackendHead = {
+/** Response headers of a backend server that the gateway evaluates. */
+export type BackendHeaders = {
 	readonly requestId: string | undefined;
-	/** The backend server states that it did not run the call. */
+	/** Whether the backend server declares that it did not run the call. */
 	readonly isNotExecuted: boolean;
-	/** Another incarnation has the address. */
+	/** Whether another backend server now uses the address. */
 	readonly isOtherBackend: boolean;
 	readonly running: number | undefined;
 	readonly waiting: number | undefined;
 };
 
-/** Header fields of callers and backend servers. Fields of one connection are left out by the gateway itself. */
+/** Conversion of the header fields of callers and backend servers. The gateway itself removes hop-by-hop fields. */
 export type WireFormat = {
 	readonly toCallerHead: (headers: IncomingHttpHeaders) => CallerHead;
-	/** Raw name and value pairs for the backend server: the caller's, without those that are the system's to set. */
-	readonly toBackendFields: (callerFields: readonly string[], forwarding: Forwarding) => string[];
-	readonly toBackendHead: (status: number, headers: IncomingHttpHeaders) => BackendHead;
+	/** Returns alternating names and values for the backend server: the caller's fields, except those that the gateway sets itself. */
+	readonly toBackendFields: (callerFields: readonly string[], forwarding: ForwardedCall) => string[];
+	readonly toBackendHead: (status: number, headers: IncomingHttpHeaders) => BackendHeaders;
 };
 
 export type Platform = {
--- a/packages/gateway/src/start-gateway.ts
+++ b/packages/gateway/src/start-gateway.ts
@@ -1,4 +1,4 @@
-/** Wires the parts of one gateway daemon and stops them in order. */
+/** Creates and connects the components of one gateway daemon, and stops them in order. */
 import {randomUUID} from 'node:crypto';
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
@@ -8,7 +8,7 @@
 import {openBackendRegistry} from './calls/backend-registry.js';
 import {type CallersListener, listenForCallers, listenForReady} from './calls/callers-listener.js';
 import {type CallersServer} from './calls/callers-server.js';
-import {openClocks} from './clocks.js';
+import {makeClocks} from './clocks.js';
 import {type LeaderTask, startLeaderTask} from './leader/leader-task.js';
 import {type EventLog} from './telemetry/event-log.js';
 import {followConfiguration} from './store/follow-configuration.js';
@@ -23,40 +23,40 @@
 import {getStoreKnowledge, listenForPeers, type SharedStateOptions} from './peers/shared-state.js';
 import {type Platform, type Topic} from './ports.js';
 
-/** Calls in flight are looked at this often while the daemon leaves, in milliseconds. */
-const drainTickMs = 100;
+/** Interval between checks for calls in flight while the daemon drains. */
+const drainPollMs = 100;
 
-/** Before the platform kills the process, in milliseconds. */
+/** Draining ends this long before the platform kills the process. */
 const killMarginMs = 300;
 
-/** Between two lines of figures, in milliseconds. */
-const figuresEveryMs = 10_000;
+/** Interval between `figures` log lines. */
+const figuresIntervalMs = 10_000;
 
-/** Connections without a call are kept for this long after SIGTERM, so that callers learn of the end with an answer. */
-const keepIdleMs = 3200;
+/** Idle connections are kept open this long after SIGTERM, so that callers learn of the shutdown from a response. */
+const keepIdleConnectionsMs = 3200;
 
 export type GatewayOptions = {
 	readonly settings: GatewaySettings;
 	readonly log: EventLog;
-	/** Open already, with requests that may wait. */
+	/** Server that already listens and may have queued requests. */
 	readonly callersServer?: CallersServer;
 	readonly openPlatform: (onStoreCall: (topic: Topic, outcome: string, isAnswered: boolean) => void) => Platform;
 };
 
 export type Gateway = {
 	readonly state: GatewayState;
-	/** Finishes all calls, refuses new ones late, and resolves when the process may end. */
+	/** Finishes the calls in flight, refuses new ones after a grace period, and resolves when the process may exit. */
 	readonly drain: () => Promise<void>;
-	/** Takes settings that have changed; addresses of listeners hold until the next start. */
+	/** Applies changed settings. Those of the listeners and of the instance take effect only at the next start. */
 	readonly reload: (settings: GatewaySettings) => void;
-	/** Ends at once, as a crash does, but for the process itself. */
+	/** Stops immediately without draining, as in a crash, but keeps the process running. */
 	readonly stop: () => void;
 };
 
-const openState = ({settings, log}: GatewayOptions, platform: Platform, metrics: GatewayState['metrics']): GatewayState => ({
+const makeState = ({settings, log}: GatewayOptions, platform: Platform, metrics: GatewayState['metrics']): GatewayState => ({
 	settings,
 	incarnation: randomUUID(),
-	clocks: openClocks(),
+	clocks: makeClocks(),
 	log,
 	metrics,
 	wire: platform.wire,
@@ -86,9 +86,9 @@
 	state.drainingSince = since;
 	state.log.write('state', 'draining', {activeCalls: state.activeCalls, graceMs: state.settings.bounds.graceMs});
 	const endAt = since + state.settings.bounds.graceMs - killMarginMs;
-	while (now() < endAt && (state.activeCalls > 0 || now() < since + keepIdleMs)) {
-		// eslint-disable-next-line no-await-in-loop -- a tick after the other
-		await sleep(drainTickMs);
+	while (now() < endAt && (state.activeCalls > 0 || now() < since + keepIdleConnectionsMs)) {
+		// eslint-disable-next-line no-await-in-loop -- a poll
+		await sleep(drainPollMs);
 	}
 
 	listener.close();
@@ -97,8 +97,8 @@
 	state.log.write('state', 'stopped', {activeCalls: state.activeCalls, tookMs: Math.round(now() - since)});
 };
 
-/** Now and then one line with what metrics would show, for those who only have logs. */
-const writeFigures = (state: GatewayState, storeCalls: ReadonlyMap<string, number>, signal: AbortSignal): void => {
+/** Periodically logs the main metrics, for operators who only have logs. */
+const logFigures = (state: GatewayState, storeCalls: ReadonlyMap<string, number>, signal: AbortSignal): void => {
 	const timer = setInterval(() => {
 		state.log.write('state', 'figures', {
 			storeCalls: Object.fromEntries(storeCalls),
@@ -109,7 +109,7 @@
 			configurationAgeMs: Math.round(state.clocks.steady() - state.configurationCheckedAt),
 			rssMb: Math.round(process.memoryUsage.rss() / 1_048_576),
 		});
-	}, figuresEveryMs);
+	}, figuresIntervalMs);
 	timer.unref();
 	signal.addEventListener('abort', () => {
 		clearInterval(timer);
@@ -117,53 +117,53 @@
 };
 
 export const startGateway = async (options: GatewayOptions): Promise<Gateway> => {
-	const answeredAt = new Map<string, number>();
-	const metrics = openGatewayMetrics({answeredAt, now: () => performance.now()});
+	const lastAnswerAt = new Map<string, number>();
+	const metrics = openGatewayMetrics({answeredAt: lastAnswerAt, now: () => performance.now()});
 	const storeCalls = new Map<string, number>();
 	const platform = options.openPlatform((topic, outcome, isAnswered) => {
 		if (isAnswered) {
-			answeredAt.set(topic, performance.now());
+			lastAnswerAt.set(topic, performance.now());
 		}
 
 		metrics.storeCalls.inc({topic, outcome});
 		storeCalls.set(topic, (storeCalls.get(topic) ?? 0) + 1);
 	});
-	const state = openState(options, platform, metrics);
+	const state = makeState(options, platform, metrics);
 	const controller = new AbortController();
 	const {signal} = controller;
 	collectProcessFigures(metrics);
 	const listener = await listenForCallers(state, options.callersServer);
-	const ready = await listenForReady(state);
-	const scrapes = listenForMetrics(state);
-	const plan = makeOrderPlanner(state);
-	const parts: {duties?: LeaderTask; relay?: SharedStateOptions; asker?: PeerQuerier} = {};
-	const isPaused = (): boolean => parts.relay === undefined ? state.settings.instance.firstStart : isServedByPeers(parts.relay);
-	const getMaxRetryDelayMs = (): number => getLongestPause(parts.relay?.getStoreRole() ?? firstRole);
+	const readyServer = await listenForReady(state);
+	const metricsServer = listenForMetrics(state);
+	const orderPlanner = makeOrderPlanner(state);
+	const components: {leaderTask?: LeaderTask; sharedState?: SharedStateOptions; peerQuerier?: PeerQuerier} = {};
+	const isPaused = (): boolean => components.sharedState === undefined ? state.settings.instance.firstStart : isServedByPeers(components.sharedState);
+	const getMaxRetryDelayMs = (): number => getLongestPause(components.sharedState?.getStoreRole() ?? firstRole);
 	const directory = followDirectory({
 		gateway: state, platform, isPaused, getMaxRetryDelayMs, signal,
 	});
 	const gossip = await startGossip({
 		gateway: state, platform, signal,
-		getReportInput: members => ({leaseOffset: parts.duties?.getLeaseOffset() ?? -1, known: getStoreKnowledge({gateway: state, directory, members})}),
+		getReportInput: members => ({leaseOffset: components.leaderTask?.getLeaseOffset() ?? -1, known: getStoreKnowledge({gateway: state, directory, members})}),
 		onStoreKnowledge(known, address) {
-			parts.asker?.handleStoreKnowledge(known, address);
+			components.peerQuerier?.handleStoreKnowledge(known, address);
 		},
 	});
-	parts.duties = startLeaderTask({
-		gateway: state, platform, planOrders: plan.planOrders, onCloudAnswer() {
-			answeredAt.set('cloud', performance.now());
-		}, onOrderAccepted: plan.recordAccepted, onOrderRefused: plan.recordRefusal, isFulfilled: plan.isFulfilled, getStoreRole: gossip.getStoreRole, signal,
+	components.leaderTask = startLeaderTask({
+		gateway: state, platform, planOrders: orderPlanner.planOrders, onCloudAnswer() {
+			lastAnswerAt.set('cloud', performance.now());
+		}, onOrderAccepted: orderPlanner.recordAccepted, onOrderRefused: orderPlanner.recordRefusal, isFulfilled: orderPlanner.isFulfilled, getStoreRole: gossip.getStoreRole, signal,
 	});
-	const relay: SharedStateOptions = {
+	const sharedStateOptions: SharedStateOptions = {
 		gateway: state, directory, onConfiguration: listener.applyLimits, getStoreRole: gossip.getStoreRole, members: gossip.members, signal,
 	};
-	parts.relay = relay;
+	components.sharedState = sharedStateOptions;
 	void followConfiguration({
 		gateway: state, platform, isPaused, getMaxRetryDelayMs, signal, onConfiguration: listener.applyLimits,
 	});
-	await listenForPeers(relay);
-	parts.asker = startPeerQueries(relay);
-	writeFigures(state, storeCalls, signal);
+	await listenForPeers(sharedStateOptions);
+	components.peerQuerier = startPeerQueries(sharedStateOptions);
+	logFigures(state, storeCalls, signal);
 	state.log.write('state', 'started', {incarnation: state.incarnation, listen: state.settings.listen, isFirstStart: state.settings.instance.firstStart});
 	return {
 		state,
@@ -175,10 +175,10 @@
 		stop() {
 			controller.abort();
 			listener.closeAll();
-			ready.close();
-			ready.closeAllConnections();
-			scrapes?.close();
-			scrapes?.closeAllConnections();
+			readyServer.close();
+			readyServer.closeAllConnections();
+			metricsServer?.close();
+			metricsServer?.closeAllConnections();
 		},
 	};
 };
