--- a/packages/gateway/src/gateway-state.ts
+++ b/packages/gateway/src/gateway-state.ts
@@ -1,4 +1,4 @@
-/** State shared by the components of one gateway daemon. The comment of each mutable field names its only writer. */
+/** State shared by the components of one gateway daemon. The comments of mutable fields name the components that write them. */
 import {type AccountBucket} from '@shallotpass/core/quotas/account-bucket.js';
 import {type CrashRegister} from '@shallotpass/core/retries/crash-register.js';
 import {type GossipReport} from '@shallotpass/core/gossip/gossip-report.js';
@@ -37,12 +37,13 @@
 	configuration: IndexedConfiguration | undefined;
 	/** When the configuration was last confirmed to be the newest, on the steady clock. Written by `followConfiguration` and the peer queries. */
 	configurationCheckedAt: number;
-	/** Written by the directory follower and by calls. */
+	/** Written by the directory follower, calls and gossip. */
 	readonly registry: BackendRegistry;
 	/** When the directory was first read, on the steady clock. Written by the directory follower. */
 	directorySince: number | undefined;
-	/** Written by calls. */
+	/** Quota buckets by account. Written by calls. */
 	readonly buckets: Map<string, AccountBucket>;
+	/** Spending within the quota window, by account. Written by calls. */
 	readonly spending: Map<string, Spending>;
 	/** Spending of accounts in each part of the quota window before this daemon started, as of the true time `at`. Written by the leader task. */
 	inherited: {readonly spent: Readonly<Record<string, readonly number[]>>; readonly at: number} | undefined;
@@ -50,8 +51,11 @@
 	hasSpending: boolean;
 	/** Start of this process, on the steady clock. */
 	readonly startedAt: number;
+	/** Retry allowances by service. Written by calls. */
 	readonly allowances: Map<string, RepeatAllowance>;
+	/** Started calls by usage window and account. Written by calls. */
 	readonly usage: UsageTally;
+	/** Backend servers that crashed while running a request, by digest of the request. Written by calls and gossip. */
 	crashes: CrashRegister;
 	/** Rate of prompt tokens to process, by service. Written by calls. */
 	readonly workRates: Map<string, WorkRate>;
--- a/packages/gateway/src/leader/deliver-duties.ts
+++ b/packages/gateway/src/leader/deliver-duties.ts
@@ -1,4 +1,4 @@
-/** Sends the usage reports and backend server orders that are stored in the lease record to the cloud API. */
+/** Performs the leader's duties: sends the usage reports and backend server orders in the lease record to the cloud API. */
 import {type BackendOrder, getFence, withReport} from '@shallotpass/core/duties/fold-lease.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type FieldsOf} from '../telemetry/log-events.js';
--- a/packages/gateway/src/leader/leader-task.ts
+++ b/packages/gateway/src/leader/leader-task.ts
@@ -63,7 +63,7 @@
 	const candidate: LeaseSeeker = {holder: instance.id, holderAddress: listen.peers, incarnation: gateway.incarnation};
 	/** The newest lease record that was read from the store or reported by a peer. */
 	let watch: LeaseWatch | undefined;
-	/** Times of the last report from a lease holder and of the last read of the lease record without one. */
+	/** When a peer last reported holding the lease, and when the lease record was last read because no peer did. */
 	let holderHeardAt = gateway.startedAt;
 	let leaseReadAt = Number.NEGATIVE_INFINITY;
 	const record: LeaseRecord = makeLeaseRecord({
@@ -140,7 +140,7 @@
 		}
 	};
 
-	/** Whether a peer recently reported holding the lease. Expiry is counted from that report, not from the time when reports stop. */
+	/** Whether a peer recently reported holding the lease. Also tracks the expiry of the reported record from this time on, not only once reports stop. */
 	const isHolderHeard = (): boolean => {
 		const since = steady() - holderTimeoutMs;
 		const offsets = [...gateway.peers.values()].filter(peer => peer.heardAt >= since).map(peer => peer.leaseOffset);
@@ -170,13 +170,13 @@
 			return;
 		}
 
-		const reading = await record.read();
-		if (reading.kind === 'unknown') {
+		const readResult = await record.read();
+		if (readResult.kind === 'unknown') {
 			return;
 		}
 
 		leaseReadAt = steady();
-		const stored = reading.kind === 'stands' ? reading.stored : undefined;
+		const stored = readResult.kind === 'stands' ? readResult.stored : undefined;
 		if (stored !== undefined) {
 			watch = watchLease(watch, {offset: stored.offset, disagreements: countDisagreements()}, steady());
 		}
@@ -211,10 +211,7 @@
 		}
 	};
 
-	/**
-	 * When all daemons start for the first time, nothing has been spent, and the presence of a lease holder confirms that.
-	 * Otherwise all daemons may have restarted at once, and an account near its limit would get its whole limit again.
-	 */
+	/** Whether this daemon or a peer holds the lease. */
 	const isHolderKnown = (): boolean => record.getHeld() !== undefined || isHolderHeard();
 
 	const waitForFirstHolder = async (): Promise<void> => {
@@ -224,7 +221,12 @@
 		}
 	};
 
-	/** Loads what accounts have spent. Callers wait for this, but no longer than the timeout if the store is unavailable. */
+	/**
+	 * Loads what accounts have spent. When all daemons start for the first time, nothing has been spent, and it is
+	 * enough that a daemon holds the lease. Otherwise all daemons may have restarted at once, and without the stored
+	 * spending an account near its limit would get its whole limit again. Callers wait for the result, but no longer
+	 * than the timeout if the store is unavailable.
+	 */
 	const loadSpending = async (): Promise<void> => {
 		if (gateway.settings.instance.firstStart) {
 			await waitForFirstHolder();
@@ -234,8 +236,8 @@
 		const giveUpAt = steady() + spendingTimeoutMs;
 		while (!gateway.hasSpending && !signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop -- reads are sequential
-			const reading = await record.read();
-			const isKnown = reading.kind !== 'unknown' || isHolderHeard();
+			const readResult = await record.read();
+			const isKnown = readResult.kind !== 'unknown' || isHolderHeard();
 			gateway.hasSpending = isKnown || steady() >= giveUpAt;
 			if (gateway.hasSpending) {
 				gateway.log.write('state', 'spending_read', {isKnown, inherited: gateway.inherited});
--- a/packages/gateway/src/peers/ask-peers.ts
+++ b/packages/gateway/src/peers/ask-peers.ts
@@ -1,6 +1,6 @@
 /**
- * Fetches the configuration and the backend servers from other daemons by JSON-RPC, and decides when this daemon
- * reads the platform's store itself.
+ * Keeps this daemon's copy of the shared state (configuration, backend servers, members) up to date by querying
+ * other daemons by JSON-RPC, and decides when this daemon reads the platform's store itself.
  */
 import http from 'node:http';
 import {type StoreKnowledge} from '@shallotpass/core/gossip/gossip-report.js';
--- a/packages/gateway/src/peers/gossip.ts
+++ b/packages/gateway/src/peers/gossip.ts
@@ -34,7 +34,7 @@
 /** Peers that were silent for this long are removed, together with the usage they reported. */
 const removeAfterMs = 40_000;
 
-/** Peers heard from within this time can read the store for all. Three rounds, with tolerance for one late report. */
+/** Peers heard from within this time can read the store for all. The time covers three rounds and one late report. */
 const readerTimeoutMs = 1000;
 
 /** Time for which a computed role is cached. Roles are requested many times a second. */
--- a/packages/gateway/src/peers/make-report.ts
+++ b/packages/gateway/src/peers/make-report.ts
@@ -9,7 +9,7 @@
 /** Number of usage windows in a report: the current one and those whose usage report may still be due. */
 const reportedWindowCount = 3;
 
-/** Most requests in a report that recently crashed backend servers. Such a request is repeated within seconds. */
+/** Limit on the number of requests in a report that recently crashed backend servers. Such a request is usually sent again within seconds. */
 const maxReportedCrashes = 20;
 
 /** With less prompt processing time than this, a measurement says too little about a backend server's speed to be reported. */
--- a/packages/gateway/src/peers/sum-other-loads.ts
+++ b/packages/gateway/src/peers/sum-other-loads.ts
@@ -5,7 +5,7 @@
 import {countedRanks} from '../calls/backend-registry.js';
 import {type GatewayState} from '../gateway-state.js';
 
-/** Loads reported longer ago are ignored. Four gossip intervals. */
+/** Older loads are ignored. The limit is four gossip intervals. */
 const maxLoadAgeMs = 1200;
 
 const updateServiceSpeeds = ({registry, clocks}: GatewayState): void => {
--- a/packages/gateway/src/store/follow-configuration.ts
+++ b/packages/gateway/src/store/follow-configuration.ts
@@ -42,7 +42,7 @@
 };
 
 export const followConfiguration = async ({gateway, platform, onConfiguration, isPaused, getMaxRetryDelayMs, signal}: FollowConfigurationOptions): Promise<void> => {
-	let isUnavailable = false;
+	let isStoreUnavailable = false;
 	const applyRecords = (records: readonly KeyedRecord[]): void => {
 		const newest = records.findLast(record => record.key === platform.records.configurationKey && record.value !== undefined);
 		if (newest?.value === undefined) {
@@ -73,14 +73,14 @@
 			onRecords: applyRecords,
 			onResponse() {
 				gateway.configurationCheckedAt = gateway.clocks.steady();
-				if (isUnavailable) {
-					isUnavailable = false;
+				if (isStoreUnavailable) {
+					isStoreUnavailable = false;
 					gateway.log.write('state', 'store_regained', {topic: 'configuration'});
 				}
 			},
 			onFailure(reason) {
-				if (!isUnavailable && !signal.aborted) {
-					isUnavailable = true;
+				if (!isStoreUnavailable && !signal.aborted) {
+					isStoreUnavailable = true;
 					gateway.log.write('state', 'store_lost', {topic: 'configuration', reason});
 				}
 			},
--- a/packages/gateway/src/store/follow-directory.ts
+++ b/packages/gateway/src/store/follow-directory.ts
@@ -54,8 +54,10 @@
 export const followDirectory = ({gateway, platform, isPaused, getMaxRetryDelayMs, signal}: FollowDirectoryOptions): DirectoryFollower => {
 	let directory = emptyDirectory;
 	let digest = digestDirectory(directory);
-	let isUnavailable = false;
+	let isStoreUnavailable = false;
+	/** Until this time, entries may be missing only because of an outage of the store. */
 	let lapsesUntil = 0;
+	/** When this daemon's directory was last confirmed to be up to date, and when that of any peer was. */
 	let freshAt = Number.NEGATIVE_INFINITY;
 	let peerFreshAt = Number.NEGATIVE_INFINITY;
 	const now = (): number => gateway.clocks.steady();
@@ -82,7 +84,7 @@
 	const makeFoldContext = () => ({now: now(), lapsesUntil});
 	const timer = setInterval(() => {
 		const dropped = dropMissing(directory, now());
-		if (!isUnavailable && dropped !== directory) {
+		if (!isStoreUnavailable && dropped !== directory) {
 			applyDirectory(dropped);
 		}
 	}, missingCheckIntervalMs);
@@ -108,8 +110,8 @@
 			onResponse() {
 				const wasStale = Number.isFinite(freshAt) && now() > freshAt + peerFreshMs;
 				freshAt = now();
-				if (isUnavailable || wasStale) {
-					isUnavailable = false;
+				if (isStoreUnavailable || wasStale) {
+					isStoreUnavailable = false;
 					// If the store was available to other daemons, entries did not expire because of an outage:
 					// a removed backend server has really left and must get no more calls.
 					const wasAwayForAll = now() > peerFreshAt + peerFreshMs;
@@ -119,8 +121,8 @@
 			},
 			onFailure(reason) {
 				lapsesUntil = now() + entryRewriteMs;
-				if (!isUnavailable && !signal.aborted) {
-					isUnavailable = true;
+				if (!isStoreUnavailable && !signal.aborted) {
+					isStoreUnavailable = true;
 					gateway.log.write('state', 'store_lost', {topic: 'directory', reason});
 				}
 			},
