--- a/packages/core/src/duties/fold-lease.test.ts
+++ b/packages/core/src/duties/fold-lease.test.ts
@@ -1,26 +1,26 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import {
-	isLeaseFree, type Lease, mayTakeLease, nobody, takerMarginMs, watchLease,
+	isLeaseFree, type Lease, mayTakeLease, nobody, takeoverMarginMs, watchLease,
 } from './fold-lease.js';
 
 const leaseMs = 3000;
 
-test('guards against seconds without duties that begin only when the holder is missed', () => {
-	const heard = watchLease(undefined, {offset: 5, disagreements: 0}, 1000);
-	// The holder ends, and 1.2 s later its record is read for the first time.
-	const read = watchLease(heard, {offset: 5, disagreements: 0}, 2200);
-	assert.equal(mayTakeLease(read, leaseMs, 1000 + leaseMs + takerMarginMs - 1), false);
-	assert.equal(mayTakeLease(read, leaseMs, 1000 + leaseMs + takerMarginMs), true);
+test('the takeover wait starts when the lease was first learned of, not when its record is first read', () => {
+	const first = watchLease(undefined, {offset: 5, disagreements: 0}, 1000);
+	// The holder has stopped, and its record is read from the store for the first time 1.2 s later.
+	const second = watchLease(first, {offset: 5, disagreements: 0}, 2200);
+	assert.equal(mayTakeLease(second, leaseMs, 1000 + leaseMs + takeoverMarginMs - 1), false);
+	assert.equal(mayTakeLease(second, leaseMs, 1000 + leaseMs + takeoverMarginMs), true);
 });
 
-test('guards against taking a lease that was renewed, or waited for by a clock that stood still', () => {
-	const heard = watchLease(undefined, {offset: 5, disagreements: 0}, 1000);
-	assert.equal(watchLease(heard, {offset: 6, disagreements: 0}, 4000).seenAt, 4000);
-	assert.equal(watchLease(heard, {offset: 5, disagreements: 1}, 4000).seenAt, 4000);
+test('the takeover wait starts again after a renewal or a disagreement of the local clocks', () => {
+	const first = watchLease(undefined, {offset: 5, disagreements: 0}, 1000);
+	assert.equal(watchLease(first, {offset: 6, disagreements: 0}, 4000).seenAt, 4000);
+	assert.equal(watchLease(first, {offset: 5, disagreements: 1}, 4000).seenAt, 4000);
 });
 
-test('guards against seconds without duties after all daemons have ended at once', () => {
+test('a restarted process takes over its own lease at once, so a restart of all daemons leaves no gap', () => {
 	const lease: Lease = {
 		holder: 'front-a-1', holderAddress: '10.1.0.1:7500', incarnation: 'life-1', fence: 3, reports: [], orders: [], counted: {}, spent: {at: 0, accounts: {}},
 	};
--- a/packages/core/src/duties/fold-lease.ts
+++ b/packages/core/src/duties/fold-lease.ts
@@ -1,9 +1,9 @@
 /**
- * One daemon at a time speaks to the cloud. Its authority is a lease: a record in the platform's
- * store that it renews by conditional appends, so that no two daemons extend the same record.
+ * The lease that makes one daemon at a time the caller of the cloud API. It is a record in the platform's
+ * store that the holder renews by conditional appends, so two daemons can't extend the same record.
  *
- * Nobody compares clocks of two machines. The holder counts its lease from the moment it sent the
- * renewal; others count from the moment they saw the record, which is later, and wait longer.
+ * Clocks of different machines are never compared. The holder counts the lease from the time it sent the
+ * renewal. Other daemons count from the time they saw the record, which is later, and add a margin.
  */
 import * as z from 'zod';
 
@@ -20,20 +20,20 @@
 	count: z.int().nonnegative(),
 });
 
-/** What the lease's record holds: the holder, and all that it says to the cloud, written before it is said. */
+/** The lease record: the holder, and everything it sends to the cloud API, written before it is sent. */
 export const leaseSchema = z.object({
 	holder: z.string(),
-	/** Address of its instance, at which one process at a time listens. */
+	/** Address of the holder's instance. Only one process at a time can listen on it. */
 	holderAddress: z.string().default(''),
-	/** Names one life of the holder's process. */
+	/** Identifies one run of the holder's process. */
 	incarnation: z.string(),
-	/** Offset of the record by which the holder took the lease; -1 in that record itself. */
+	/** Fencing token: the offset of the record with which the holder took the lease, or -1 in that record itself. */
 	fence: z.int(),
 	reports: z.array(windowReport),
 	orders: z.array(backendOrder),
-	/** Window → incarnation of a daemon → counts, for windows that are not reported yet. */
+	/** Usage counts by window, daemon incarnation and client account, for windows that are not reported yet. */
 	counted: z.record(z.string(), z.record(z.string(), z.record(z.string(), z.number()))),
-	/** Cost units that accounts spent in each part of the window of their limits, over all daemons, as of a moment of true time. */
+	/** Cost units spent by each client account on all daemons, per slot of the rate limit window, as of the true time `at`. */
 	spent: z.object({at: z.number(), accounts: z.record(z.string(), z.array(z.number()))}),
 });
 
@@ -41,66 +41,72 @@
 export type WindowReport = z.infer<typeof windowReport>;
 export type BackendOrder = z.infer<typeof backendOrder>;
 
-/** A lease as it stands in the store. */
+/** A lease and the offset of its newest record in the store. */
 export type StoredLease = {
 	readonly lease: Lease;
 	readonly offset: number;
 };
 
-/** The number that goes with each call: it grows when the holder changes. */
+/** Returns the fencing token that is sent with each call. It increases whenever the holder changes. */
 export const getFence = (stored: StoredLease): number => stored.lease.fence === -1 ? stored.offset : stored.lease.fence;
 
-/** The holder stops this long before others may take over, in milliseconds: a call that it sent last is then answered or lost. */
-export const holderMarginMs = 700;
+/** The holder stops acting this long before the lease ends, so that its last call has finished or failed by then. */
+export const holderSafetyMarginMs = 700;
 
-/** Others wait this much longer than the lease, in milliseconds. */
-export const takerMarginMs = 500;
+/** Other daemons wait this much longer than the lease before they take it over. */
+export const takeoverMarginMs = 500;
 
-/** Reports kept in the record; older windows are past the time at which they are due. */
-const keptReports = 5;
+/** Reports kept in the record. Older windows are past their reporting deadline. */
+const maxKeptReports = 5;
 
+/** Adds a usage report to the lease. It replaces an earlier report of the same window. */
 export const withReport = (lease: Lease, report: WindowReport): Lease => {
-	const others = lease.reports.filter(known => known.window !== report.window);
-	const reports = [...others, report].toSorted((left, right) => left.window - right.window).slice(-keptReports);
+	const others = lease.reports.filter(existing => existing.window !== report.window);
+	const reports = [...others, report].toSorted((left, right) => left.window - right.window).slice(-maxKeptReports);
 	return {...lease, reports};
 };
 
-/** Windows that are over, are not written in the lease yet and are not too late. */
-export const listDueWindows = (lease: Lease, current: number, oldest: number): number[] => {
-	const last = lease.reports.at(-1)?.window ?? Math.max(oldest, current - 2) - 1;
+/** Lists the completed windows that the lease doesn't hold yet and that can still be reported. */
+export const listDueWindows = (lease: Lease, currentWindow: number, oldestWindow: number): number[] => {
+	const lastReportedWindow = lease.reports.at(-1)?.window ?? Math.max(oldestWindow, currentWindow - 2) - 1;
 	const due: number[] = [];
-	for (let window = Math.max(last + 1, oldest); window < current; window++) {
+	for (let window = Math.max(lastReportedWindow + 1, oldestWindow); window < currentWindow; window++) {
 		due.push(window);
 	}
 
 	return due;
 };
 
-/** What a daemon that wants the lease saw of it last. */
+/** The lease record that a daemon observed last, and when. */
 export type LeaseWatch = {
 	readonly offset: number;
-	/** When that record was first seen or heard of, on the steady clock. */
+	/** When that record was first read or learned of by gossip, on the monotonic clock. */
 	readonly seenAt: number;
-	/** Disagreements of the own clocks until then; one more means that time has passed unseen. */
+	/** How often the monotonic clock and the time of day had disagreed by then. An increase means that the instance was suspended or its time of day jumped. */
 	readonly disagreements: number;
 };
 
-/** Watches the record that is held, from when it was first heard of. */
-export const watchLease = (known: LeaseWatch | undefined, record: Omit<LeaseWatch, 'seenAt'>, now: number): LeaseWatch =>
-	known?.offset === record.offset && known.disagreements === record.disagreements ? known : {...record, seenAt: now};
+/** Keeps the earlier observation while the record and the clocks are unchanged, otherwise starts a new one at `now`. */
+export const watchLease = (previous: LeaseWatch | undefined, record: Omit<LeaseWatch, 'seenAt'>, now: number): LeaseWatch =>
+	previous?.offset === record.offset && previous.disagreements === record.disagreements ? previous : {...record, seenAt: now};
 
-/** Who wants the lease. */
+/** A daemon that wants the lease. */
 export type LeaseSeeker = Pick<Lease, 'holder' | 'holderAddress' | 'incarnation'>;
 
-/** In place of the holder's incarnation once it gave the lease up. */
+/** Value of the holder's incarnation after the holder released the lease. */
 export const nobody = '';
 
-/** Whether the lease is nobody else's to act on: it was given up, is the seeker's own, or that of the process that ran before it on the same instance. */
-export const isLeaseFree = (lease: Lease, seeker: LeaseSeeker): boolean => {
-	const isOfInstance = lease.holder === seeker.holder && lease.holderAddress === seeker.holderAddress;
-	return lease.incarnation === nobody || lease.incarnation === seeker.incarnation || isOfInstance;
+/**
+ * Whether the candidate can take the lease without waiting: the lease was released, is the candidate's own,
+ * or belongs to an earlier process on the same instance.
+ */
+export const isLeaseFree = (lease: Lease, candidate: LeaseSeeker): boolean => {
+	const isOnSameInstance = lease.holder === candidate.holder && lease.holderAddress === candidate.holderAddress;
+	return lease.incarnation === nobody || lease.incarnation === candidate.incarnation || isOnSameInstance;
 };
 
-export const mayTakeLease = (watch: LeaseWatch, leaseMs: number, now: number): boolean => now >= watch.seenAt + leaseMs + takerMarginMs;
+/** Whether the lease has expired for a daemon that observes another holder. */
+export const mayTakeLease = (watch: LeaseWatch, leaseMs: number, now: number): boolean => now >= watch.seenAt + leaseMs + takeoverMarginMs;
 
-export const mayActOnLease = (renewedAt: number, leaseMs: number, now: number): boolean => now >= renewedAt && now < renewedAt + leaseMs - holderMarginMs;
+/** Whether the holder may still call the cloud API after its last renewal. */
+export const mayActOnLease = (renewedAt: number, leaseMs: number, now: number): boolean => now >= renewedAt && now < renewedAt + leaseMs - holderSafetyMarginMs;
