--- a/packages/core/src/gossip/gossip-report.test.ts
+++ b/packages/core/src/gossip/gossip-report.test.ts
@@ -31,10 +31,10 @@
 const never = () => false;
 
 for (const daemons of [9, 90, 870]) {
-	test(`${daemons} daemons pick the same relays, and the sums of their zones are the sum of all`, () => {
+	test(`${daemons} daemons select the same relays, and the sums of the zones add up to the total`, () => {
 		const zones = daemons === 870 ? 16 : 3;
 		const all = Array.from({length: daemons}, (_value, index) => makeReport(index, `zone-${index % zones}`));
-		let daemonsTold = 0;
+		let reportedDaemons = 0;
 		let spent = 0;
 		for (let index = 0; index < zones; index++) {
 			const zone = `zone-${index}`;
@@ -44,31 +44,31 @@
 			assert.deepEqual(pickRelays(all.toReversed(), zone, never), relays);
 			const [own, ...others] = inZone;
 			const sum = sumReports(own!, others, []);
-			daemonsTold += sum.daemons;
+			reportedDaemons += sum.daemons;
 			spent += sumSlots(sum.spent.shop);
 		}
 
-		assert.equal(daemonsTold, daemons);
+		assert.equal(reportedDaemons, daemons);
 		assert.equal(spent, daemons * 100);
 		assert.equal(needsRelays(daemons), daemons > 12);
 	});
 }
 
-test('the daemons with the widest links are relays', () => {
+test('the daemons with the highest bandwidth are the relays', () => {
 	const members = Array.from({length: 30}, (_value, index) => ({...makeReport(index, 'zone-0'), linkMbps: index === 7 || index === 8 ? 200 : 10}));
 	assert.deepEqual(pickRelays(members, 'zone-0', never).map(member => member.id).toSorted(), ['d7', 'd8']);
 });
 
-test('when the first relay is silent the second is everybody\'s first', () => {
-	// The daemon that adds up for a zone is stopped. Were the others to go on telling it, each would
-	// soon take itself for the only one, and the zone would spend its accounts' limits many times.
+test('all daemons use the second relay first while the first one is silent', () => {
+	// If daemons kept reporting to a stopped relay, each would assume that it is the only daemon,
+	// and the zone would exceed the limits of the client accounts many times over.
 	const members = Array.from({length: 30}, (_value, index) => makeReport(index, 'zone-0'));
 	const [first, second] = pickRelays(members, 'zone-0', never);
 	const after = pickRelays(members, 'zone-0', address => address === first!.address);
 	assert.equal(after[0]!.address, second!.address);
 });
 
-test('a daemon sees what the others do in a sum that it is a part of', () => {
+test('a daemon subtracts its own report from a sum that includes it', () => {
 	const all = Array.from({length: 5}, (_value, index) => makeReport(index, 'zone-0'));
 	const sum = sumReports(all[0]!, all.slice(1), []);
 	const others = withoutOwn(sum, all[2]!);
@@ -77,9 +77,9 @@
 	assert.equal(others.leaseOffset, 12);
 });
 
-test('what a daemon counted before it ended stays in the sum', () => {
-	// A daemon is killed in the middle of a usage window. Without its counts the report of the window
-	// is off, and the operators are billed wrongly.
+test('the usage counts of a stopped daemon stay in the sum', () => {
+	// A daemon is killed during a usage window. Without its counts the window's report would be too low
+	// and the billing wrong.
 	const all = Array.from({length: 3}, (_value, index) => makeReport(index, 'zone-0'));
 	const sum = sumReports(all[0]!, [all[1]!], [all[2]!]);
 	assert.deepEqual([sum.daemons, sumWindow(sum.usage['7']!).shop, sum.spent.shop], [2, 6, [120, 80]]);
@@ -90,7 +90,7 @@
 	return sumReports(own!, others, []);
 };
 
-test('what a relay tells its zone is as large with sixteen zones as with two', () => {
+test('the total that a relay sends to its zone has about the same size with two and with sixteen zones', () => {
 	const sizes = [2, 16].map(zones => {
 		const all = Array.from({length: 64}, (_value, index) => ({...makeReport(index, `zone-${index % zones}`), usage: {}}));
 		const sums = Array.from({length: zones}, (_value, index) => sumZone(all, `zone-${index}`));
@@ -101,22 +101,22 @@
 	assert.ok(sizes[1]! < sizes[0]! * 1.1, sizes.join(' and '));
 });
 
-test('guards against a zone that is cut off and spends as if it were alone: the others know how many are silent', () => {
+test('a total counts the daemons of silent zones, which may still be spending', () => {
 	const all = Array.from({length: 20}, (_value, index) => makeReport(index, `zone-${index % 5}`));
 	const sums = ['zone-0', 'zone-1', 'zone-2'].map(zone => sumZone(all, zone));
 	const total = totalReports(sums[0]!, [sums[1]!], [sums[2]!]);
 	assert.deepEqual([total.daemons, total.silentDaemons], [8, 4]);
 });
 
-test('guards against calls that are reported twice when the duties go to a daemon of another zone', () => {
+test('usage is not counted twice when the lease moves to a daemon in another zone', () => {
 	const all = Array.from({length: 20}, (_value, index) => makeReport(index, `zone-${index % 5}`));
 	const sums = ['zone-0', 'zone-1', 'zone-2', 'zone-3', 'zone-4'].map(zone => sumZone(all, zone));
-	const listHeard = (holder: GossipReport) => {
+	const collectUsage = (holder: GossipReport) => {
 		const zone = holder.availabilityZone;
 		const total = totalReports(sums.find(sum => sum.availabilityZone === zone)!, sums.filter(sum => sum.availabilityZone !== zone), []);
 		return mergeUsage(holder.usage, withoutOwn(total, holder).usage);
 	};
 
-	const counted = mergeUsage(listHeard(all[3]!), listHeard(all[1]!));
+	const counted = mergeUsage(collectUsage(all[3]!), collectUsage(all[1]!));
 	assert.equal(sumWindow(counted['7']!).shop, 40);
 });
--- a/packages/core/src/gossip/gossip-report.ts
+++ b/packages/core/src/gossip/gossip-report.ts
@@ -1,59 +1,59 @@
 /**
- * What daemons tell each other. A few tell everybody; many tell two relays of their own zone,
- * which add it up and pass the sums on, so that what a daemon sends and hears does not grow with
- * the number of daemons.
+ * Reports that daemons send to each other by gossip. In a small deployment each daemon sends its report to all
+ * others. In a large one it sends it to two relays in its zone, which exchange sums, so the gossip traffic of a
+ * daemon doesn't grow with the number of daemons.
  */
 import * as z from 'zod';
 import {toZoneSource} from '../usage/count-starts.js';
 
 const amounts = z.record(z.string(), z.number());
 
-/** How much of the platform's store a daemon knows, and since when: others see without a question whether they know the same. */
+/** Versions and ages of the store data that a daemon holds. Other daemons compare them with their own without a request. */
 const storeKnowledge = z.object({
-	/** -1 while none is known. */
+	/** -1 before a configuration was loaded. */
 	configurationVersion: z.number(),
-	/** Milliseconds since it was last known to be the newest. */
+	/** Milliseconds since this version was last confirmed to be the newest. */
 	configurationAgeMs: z.number(),
-	/** First record of the backend servers that was not read. */
+	/** Offset of the first directory record that has not been read. */
 	directoryNext: z.number(),
 	directoryDigest: z.string(),
 	directoryAgeMs: z.number(),
-	/** Daemons that it knows. */
+	/** Number of daemons that it knows. */
 	members: z.int(),
 });
 
 export type StoreKnowledge = z.infer<typeof storeKnowledge>;
 
 export const gossipReportSchema = z.object({
-	/** Name of the daemon, or of the relay that added up. */
+	/** Id of the daemon, or of the relay that computed the sum. */
 	id: z.string(),
-	/** Names one life of a daemon's process; for sums, what they are of and the relay's zone. */
+	/** Identifies one run of the daemon's process. In a sum it is the prefix `zone:` or `total:` and the relay's zone. */
 	incarnation: z.string(),
 	address: z.string(),
 	availabilityZone: z.string(),
-	/** Bandwidth of the teller's link, in Mbit/s. */
+	/** Bandwidth of the sender's network link, in Mbit/s. */
 	linkMbps: z.number(),
-	/** Daemons that this speaks for. */
+	/** Number of daemons that the report covers. */
 	daemons: z.int(),
-	/** Daemons of zones that ran lately and are not heard now: they may spend unseen. */
+	/** Number of daemons in zones that stopped reporting. They may still be admitting calls that nobody else counts. */
 	silentDaemons: z.int().default(0),
-	/** What the teller knows; in a sum, the relay. */
+	/** Store data held by the sender, which in a sum is the relay. */
 	known: storeKnowledge,
-	/** Cost units asked a second by client account. */
+	/** Cost units requested per second, by client account. */
 	demands: amounts,
-	/** Cost units admitted in each part of the window of the limits, the newest first, by client account. */
+	/** Cost units admitted in each slot of the rate limit window, newest first, by client account. */
 	spent: z.record(z.string(), z.array(z.number())),
-	/** Backend id → calls running, prompt tokens pending by rank, and what was seen of its reading: tokens and milliseconds. */
+	/** Load by backend id: running calls, pending prompt tokens by rank, then the measured prompt processing as tokens and milliseconds. */
 	loads: z.record(z.string(), z.array(z.number())),
-	/** Window → who counted: an incarnation, or `zone:` and the zone of all that count there → client account → calls begun. */
+	/** Calls started, by window, source and client account. A source is a daemon's incarnation, or `zone:` and a zone for the sum of its daemons. */
 	usage: z.record(z.string(), z.record(z.string(), amounts)),
-	/** Prompt tokens to read a second, by service. */
+	/** Prompt tokens to process per second, by service. */
 	work: amounts,
-	/** Offset of the lease's record that a daemon holds, or -1. */
+	/** Offset of the lease record that a daemon holds, or -1. */
 	leaseOffset: z.number(),
-	/** The teller's true time, in milliseconds since the epoch. */
+	/** The sender's true time, which daemons keep in step with each other, in milliseconds since the epoch. */
 	trueTime: z.number(),
-	/** Digest of a request → incarnations of backend servers that ended while they ran it. */
+	/** Incarnations of backend servers that ended while they ran a request, by the request's digest. */
 	crashes: z.record(z.string(), z.array(z.string())),
 });
 
@@ -70,18 +70,19 @@
 	return sum;
 };
 
-type Lists = Readonly<Record<string, number[]>>;
+type AmountLists = Readonly<Record<string, number[]>>;
 
-const addLists = (left: Lists, right: Lists, sign: 1 | -1 = 1): Record<string, number[]> => {
+const addLists = (left: AmountLists, right: AmountLists, sign: 1 | -1 = 1): Record<string, number[]> => {
 	const sum: Record<string, number[]> = {...left};
-	for (const [id, load] of Object.entries(right)) {
-		const before = sum[id] ?? [];
-		sum[id] = load.map((amount, index) => Math.max(0, (before[index] ?? 0) + (sign * amount)));
+	for (const [key, items] of Object.entries(right)) {
+		const current = sum[key] ?? [];
+		sum[key] = items.map((amount, index) => Math.max(0, (current[index] ?? 0) + (sign * amount)));
 	}
 
 	return sum;
 };
 
+/** Prefix of the incarnation in totals over all zones. */
 const totalPrefix = 'total:';
 
 export const isZoneSum = ({incarnation}: Pick<GossipReport, 'incarnation'>): boolean => incarnation.startsWith(toZoneSource(''));
@@ -90,7 +91,7 @@
 
 export const isSum = (report: Pick<GossipReport, 'incarnation'>): boolean => isZoneSum(report) || isTotal(report);
 
-/** What all daemons of a zone counted, under the name of the zone. */
+/** Sums the usage counts of a zone's daemons under the zone as their source. */
 const sumUsage = (zone: string, all: readonly GossipReport[]): GossipReport['usage'] => {
 	const sum: Record<string, Record<string, Amounts>> = {};
 	for (const [window, sources] of all.flatMap(({usage}) => Object.entries(usage))) {
@@ -102,13 +103,13 @@
 	return sum;
 };
 
-const joinUsage = (left: GossipReport['usage'], right: GossipReport['usage']): GossipReport['usage'] => {
-	const joined = {...left};
+const mergeUsageSources = (left: GossipReport['usage'], right: GossipReport['usage']): GossipReport['usage'] => {
+	const merged = {...left};
 	for (const [window, sources] of Object.entries(right)) {
-		joined[window] = {...joined[window], ...sources};
+		merged[window] = {...merged[window], ...sources};
 	}
 
-	return joined;
+	return merged;
 };
 
 const addReports = (left: GossipReport, right: GossipReport): GossipReport => ({
@@ -118,13 +119,13 @@
 	demands: addAmounts(left.demands, right.demands),
 	spent: addLists(left.spent, right.spent),
 	loads: addLists(left.loads, right.loads),
-	usage: joinUsage(left.usage, right.usage),
+	usage: mergeUsageSources(left.usage, right.usage),
 	work: addAmounts(left.work, right.work),
 	leaseOffset: Math.max(left.leaseOffset, right.leaseOffset),
 	crashes: {...left.crashes, ...right.crashes},
 });
 
-const sumAll = (first: GossipReport, others: readonly GossipReport[]): GossipReport => {
+const addAllReports = (first: GossipReport, others: readonly GossipReport[]): GossipReport => {
 	let sum = first;
 	for (const report of others) {
 		sum = addReports(sum, report);
@@ -133,24 +134,27 @@
 	return sum;
 };
 
-/** Adds up the reports of a zone. `own` are the relay's own; `departed` ended lately, and only what they counted is kept. */
+/**
+ * Sums the reports of a zone. `own` is the relay's report. Of daemons in `departed`, which have stopped, only the
+ * usage counts are included.
+ */
 export const sumReports = (own: GossipReport, others: readonly GossipReport[], departed: readonly GossipReport[]): GossipReport => ({
-	...sumAll(own, others),
+	...addAllReports(own, others),
 	incarnation: toZoneSource(own.availabilityZone),
 	usage: sumUsage(own.availabilityZone, [own, ...others, ...departed]),
 });
 
 /**
- * What a relay tells its zone: the sum of all zones, so that what a daemon hears does not grow with the
- * number of zones. `silent` are sums of zones that are not heard any more.
+ * Sums the reports of all zones. A relay sends only this total to its zone, so the size of the message doesn't grow
+ * with the number of zones. `silent` holds the last sums of zones that stopped reporting.
  */
 export const totalReports = (zone: GossipReport, others: readonly GossipReport[], silent: readonly GossipReport[]): GossipReport => ({
-	...sumAll(zone, others),
+	...addAllReports(zone, others),
 	incarnation: `${totalPrefix}${zone.availabilityZone}`,
 	silentDaemons: silent.reduce((sum, {daemons}) => sum + daemons, 0),
 });
 
-/** What the others do, out of a sum that this daemon is a part of. What was counted stays whole: it is reported by zone. */
+/** Subtracts a daemon's own report from a sum that includes it. Usage counts stay complete because they are reported by zone. */
 export const withoutOwn = (sum: GossipReport, own: GossipReport): GossipReport => ({
 	...sum,
 	daemons: Math.max(0, sum.daemons - 1),
--- a/packages/core/src/gossip/limit-loads.test.ts
+++ b/packages/core/src/gossip/limit-loads.test.ts
@@ -4,8 +4,8 @@
 import {type GossipReport} from './gossip-report.js';
 import {isZoneAlone, limitLoads} from './limit-loads.js';
 
-/** What one UDP datagram over IPv4 carries at most. */
-const mostDatagramBytes = 65_507;
+/** Maximum payload of a UDP datagram over IPv4. */
+const maxDatagramBytes = 65_507;
 
 const makeTotal = (backends: number): GossipReport => ({
 	id: 'relay', incarnation: 'total:a', address: '10.0.0.1:7500', availabilityZone: 'a', linkMbps: 200, daemons: 300, silentDaemons: 0,
@@ -20,16 +20,16 @@
 
 const countBytes = (report: GossipReport): number => Buffer.byteLength(JSON.stringify(report));
 
-test('guards against gossip that is larger than a datagram, so that nothing is heard at all', () => {
-	assert.ok(countBytes(makeTotal(3003)) > mostDatagramBytes);
-	assert.ok(countBytes(makeTotal(600)) < mostDatagramBytes);
+test('a report with thousands of backend servers fits into a datagram once its loads are limited', () => {
+	assert.ok(countBytes(makeTotal(3003)) > maxDatagramBytes);
+	assert.ok(countBytes(makeTotal(600)) < maxDatagramBytes);
 	assert.ok(isZoneAlone(3003, 600));
-	const own = limitLoads(makeTotal(3003), id => Number(id.split('-').at(-1)) % 5 === 0);
-	assert.equal(Object.keys(own.loads).length, 601);
-	assert.ok(countBytes(own) < mostDatagramBytes, String(countBytes(own)));
+	const limited = limitLoads(makeTotal(3003), id => Number(id.split('-').at(-1)) % 5 === 0);
+	assert.equal(Object.keys(limited.loads).length, 601);
+	assert.ok(countBytes(limited) < maxDatagramBytes, String(countBytes(limited)));
 });
 
-test('zones use each other\'s backend servers while there are few, or few in the zone', () => {
+test('zones share backend servers while there are few in total or few in the zone', () => {
 	assert.equal(isZoneAlone(98, 20), false);
 	assert.equal(isZoneAlone(3003, 10), false);
 });
--- a/packages/core/src/gossip/limit-loads.ts
+++ b/packages/core/src/gossip/limit-loads.ts
@@ -1,19 +1,20 @@
 /**
- * Before thousands of backend servers each zone serves its callers by its own, and gossip carries only their
- * loads: the loads of all would not fit into a datagram, and no call could weigh them all.
+ * Limits the loads in a gossip report. With thousands of backend servers, each zone serves its callers with its own
+ * servers and shares only their loads: the loads of all would not fit into a datagram, and comparing all of them
+ * for each call would take too long.
  */
 import {type GossipReport} from './gossip-report.js';
 
-/** Loads of so many backend servers fit into a datagram, which holds 65 kB, with all else that is told. */
-const mostSharedBackends = 600;
+/** The loads of this many backend servers and the rest of a report fit into a UDP datagram of 65 kB. */
+const maxSharedBackends = 600;
 
-/** A zone with fewer than this goes on using those of the others. */
-const leastInZone = 50;
+/** A zone with fewer backend servers keeps using those of other zones. */
+const minBackendsInZone = 50;
 
-/** Whether a zone serves by its own backend servers alone: there are very many, and enough of them stand in the zone. */
-export const isZoneAlone = (backends: number, inZone: number): boolean => backends > mostSharedBackends && inZone >= leastInZone;
+/** Whether a zone uses only its own backend servers: there are too many to share, and the zone has enough of them. */
+export const isZoneAlone = (backends: number, backendsInZone: number): boolean => backends > maxSharedBackends && backendsInZone >= minBackendsInZone;
 
-/** The report with the loads of the backend servers that `isWanted` names. */
+/** Returns the report with only the loads of the backend servers that `isWanted` accepts. */
 export const limitLoads = (report: GossipReport, isWanted: (backendId: string) => boolean): GossipReport => ({
 	...report,
 	loads: Object.fromEntries(Object.entries(report.loads).filter(([id]) => isWanted(id))),
--- a/packages/core/src/gossip/pick-relays.ts
+++ b/packages/core/src/gossip/pick-relays.ts
@@ -1,38 +1,39 @@
-/** Which daemons of a zone add up the reports of the others. All daemons pick the same ones without a message. */
+/** Selects the daemons of a zone that sum the reports of the others. All daemons select the same ones without coordination. */
 import {rankByRendezvous} from '../routing/rank-by-rendezvous.js';
 
 export type Member = {
 	readonly id: string;
-	/** Address for reports and questions. */
+	/** Address for gossip reports and requests. */
 	readonly address: string;
 	readonly availabilityZone: string;
-	/** Bandwidth of its link, in Mbit/s. */
+	/** Bandwidth of the network link, in Mbit/s. */
 	readonly linkMbps: number;
 };
 
-/** Up to so many daemons tell everybody. */
-const mostDirectDaemons = 12;
+/** Up to this number, daemons send their reports directly to all others. */
+const maxDirectDaemons = 12;
 
-/** One that works, and one that takes over without a word when the first is silent. */
+/** An active relay and a standby that takes over without coordination when the first is silent. */
 const relaysPerZone = 2;
 
-export const needsRelays = (members: number): boolean => members > mostDirectDaemons;
+export const needsRelays = (members: number): boolean => members > maxDirectDaemons;
 
 /**
- * Members by their fitness to work for the others, in an order that all daemons share. Narrow links
- * come last: the sums of all zones, sent to 30 daemons, fill a link of 10 Mbit/s, and are lost just then.
+ * Ranks members as relays or readers for the others, in the same order on every daemon. Members with less than the
+ * highest bandwidth come last: sending the sums of all zones to 30 daemons saturates a link of 10 Mbit/s and
+ * loses messages.
  */
-export const rankByWidth = (key: string, members: Iterable<Member>): Member[] => {
+export const rankByBandwidth = (key: string, members: Iterable<Member>): Member[] => {
 	const byAddress = new Map([...members].map(member => [member.address, member]));
-	const widest = Math.max(...[...byAddress.values()].map(member => member.linkMbps));
-	const isWide = (address: string): boolean => byAddress.get(address)!.linkMbps === widest;
+	const highestMbps = Math.max(...[...byAddress.values()].map(member => member.linkMbps));
+	const hasHighestBandwidth = (address: string): boolean => byAddress.get(address)!.linkMbps === highestMbps;
 	const ranked = rankByRendezvous(key, [...byAddress.keys()]);
-	return [...ranked.filter(address => isWide(address)), ...ranked.filter(address => !isWide(address))]
+	return [...ranked.filter(address => hasHighestBandwidth(address)), ...ranked.filter(address => !hasHighestBandwidth(address))]
 		.map(address => byAddress.get(address)!);
 };
 
-/** The relays of a zone, the first one first; `isAvoided` tells those that were silent. */
-export const pickRelays = (members: Iterable<Member>, zone: string, isAvoided: (address: string) => boolean): Member[] => {
-	const candidates = [...members].filter(member => member.availabilityZone === zone && !isAvoided(member.address));
-	return rankByWidth(zone, candidates).slice(0, relaysPerZone);
+/** Returns the relays of a zone, the active one first. `isExcluded` matches daemons that were silent. */
+export const pickRelays = (members: Iterable<Member>, zone: string, isExcluded: (address: string) => boolean): Member[] => {
+	const candidates = [...members].filter(member => member.availabilityZone === zone && !isExcluded(member.address));
+	return rankByBandwidth(zone, candidates).slice(0, relaysPerZone);
 };
--- a/packages/core/src/gossip/store-role.test.ts
+++ b/packages/core/src/gossip/store-role.test.ts
@@ -12,7 +12,7 @@
 const listRoles = (members: readonly Member[]) => members.map(self => computeStoreRole({self, heard: members.filter(member => member !== self), relays: []}));
 
 for (const daemons of [1, 2, 9]) {
-	test(`of ${daemons} daemons that hear each other one reads the store, and all others ask it first`, () => {
+	test(`one of ${daemons} connected daemons reads the store, and all others ask it first`, () => {
 		const members = Array.from({length: daemons}, (_value, index) => makeMember(index));
 		const roles = listRoles(members);
 		assert.deepEqual(roles.map(({rank}) => rank).toSorted((left, right) => left - right), members.map((_member, index) => index));
@@ -23,32 +23,32 @@
 	});
 }
 
-test('guards against a reader on a narrow link: all daemons ask it', () => {
+test('the daemon with the highest bandwidth is the reader, because all others ask it', () => {
 	const members = Array.from({length: 9}, (_value, index) => makeMember(index, {linkMbps: index === 4 ? 200 : 10}));
 	assert.equal(listRoles(members)[4]!.rank, 0);
 });
 
-test('guards against daemons that go on asking a reader that has ended: the stand-in is next', () => {
+test('the standby becomes the reader when the reader has stopped', () => {
 	const members = Array.from({length: 9}, (_value, index) => makeMember(index));
 	const roles = listRoles(members);
 	const reader = members[roles.findIndex(({rank}) => rank === 0)]!;
-	const standIn = members[roles.findIndex(({rank}) => rank === 1)]!;
-	const left = members.filter(member => member !== reader);
-	const after = listRoles(left);
-	assert.equal(after[left.indexOf(standIn)]!.rank, 0);
+	const standby = members[roles.findIndex(({rank}) => rank === 1)]!;
+	const remaining = members.filter(member => member !== reader);
+	const after = listRoles(remaining);
+	assert.equal(after[remaining.indexOf(standby)]!.rank, 0);
 });
 
-test('guards against a zone that is cut off and waits for a reader beyond the cut', () => {
+test('a daemon that hears no others reads the store itself instead of waiting for an unreachable reader', () => {
 	assert.equal(computeStoreRole({self: makeMember(0), heard: [], relays: []}).rank, 0);
 });
 
-test('a daemon that its zone\'s relays serve asks them and neither reads nor seeks first', () => {
+test('a daemon that uses relays asks them and is the last to read the store or look for the lease', () => {
 	const relays = [makeMember(1), makeMember(2)];
 	const role = computeStoreRole({self: makeMember(0), heard: [makeMember(3)], relays});
 	assert.deepEqual(role.sources, relays.map(({address}) => address));
-	const standIn = {rank: 1, sources: []};
+	const standby = {rank: 1, sources: []};
 	assert.ok(getStaleMargin(role) > getStaleMargin({rank: 2, sources: []}));
-	assert.ok(getStaleMargin(standIn) < getStaleMargin({rank: 2, sources: []}));
+	assert.ok(getStaleMargin(standby) < getStaleMargin({rank: 2, sources: []}));
 	assert.ok(Number.isFinite(getSeekDelay(role)));
 	assert.equal(getSeekDelay(firstRole), 0);
 	assert.ok(getLongestPause(role) > getLongestPause(firstRole));
--- a/packages/core/src/gossip/store-role.ts
+++ b/packages/core/src/gossip/store-role.ts
@@ -1,32 +1,32 @@
 /**
- * Which daemon reads the platform's store for all. Each call to the store is paid for, and all daemons
- * read the same; so one reads, and the others ask it, or their zone's relay, which asks it. A daemon
- * whose state grows old reads for itself, so a wrong choice costs calls and no promise.
+ * Decides which daemon reads the platform's store for all. Calls to the store are billed and every daemon needs the
+ * same data, so one daemon reads it and the others ask that daemon or their zone's relay. A daemon whose data becomes
+ * stale reads the store itself, so a wrong choice costs extra calls but no correctness.
  */
-import {type Member, rankByWidth} from './pick-relays.js';
+import {type Member, rankByBandwidth} from './pick-relays.js';
 
 export type StoreRole = {
-	/** 0 reads the store for all; 1 takes over first when that one is not heard. */
+	/** Rank 0 reads the store for all. Rank 1 is the first to take over when rank 0 is silent. */
 	readonly rank: number;
-	/** Daemons to ask for the configuration and the backend servers, the best one first. */
+	/** Addresses of the daemons to ask for the configuration and the backend servers, the preferred one first. */
 	readonly sources: readonly string[];
 };
 
-/** Until others are known a daemon reads for itself. */
+/** A daemon reads the store itself until it knows other daemons. */
 export const firstRole: StoreRole = {rank: 0, sources: []};
 
-/** What the reader's rank is drawn by. */
+/** Rendezvous key that ranks the readers. */
 const readerKey = 'store';
 
-/** Daemons that are asked beside the reader's place in the order. */
-const mostSources = 2;
+/** Number of daemons to ask: the reader and its standby. */
+const maxSources = 2;
 
 export type RoleInput = {
 	/** This daemon. */
 	readonly self: Member;
-	/** Daemons that were heard just now and may read for all: every one, or a relay for each zone. */
+	/** Daemons with recent reports that may read for all: all daemons, or one relay per zone. */
 	readonly heard: readonly Member[];
-	/** Relays of the own zone, when this daemon is served by them. */
+	/** Relays of the daemon's own zone, or empty if it doesn't use relays. */
 	readonly relays: readonly Member[];
 };
 
@@ -35,34 +35,40 @@
 		return {rank: Infinity, sources: relays.map(({address}) => address)};
 	}
 
-	const ranked = rankByWidth(readerKey, [self, ...heard]).map(({address}) => address);
+	const ranked = rankByBandwidth(readerKey, [self, ...heard]).map(({address}) => address);
 	return {
 		rank: ranked.indexOf(self.address),
-		sources: ranked.filter(address => address !== self.address).slice(0, mostSources),
+		sources: ranked.filter(address => address !== self.address).slice(0, maxSources),
 	};
 };
 
-/** Time beyond the usual age of what is known after which a daemon reads the store itself, in milliseconds: the stand-in first, the relays before those they serve. */
-const standInMarginMs = 600;
-const readerMarginMs = 900;
-const servedMarginMs = 1300;
+/**
+ * How far the age of a daemon's data may exceed the usual age before it reads the store itself. The reader and its
+ * standby read first, then the other daemons, and last those that are served by relays.
+ */
+const standbyMarginMs = 600;
+const otherMarginMs = 900;
+const relayedMarginMs = 1300;
 
 export const getStaleMargin = ({rank}: StoreRole): number => {
 	if (rank <= 1) {
-		return standInMarginMs;
+		return standbyMarginMs;
 	}
 
-	return rank === Infinity ? servedMarginMs : readerMarginMs;
+	return rank === Infinity ? relayedMarginMs : otherMarginMs;
 };
 
-/** Longest pause between calls that the store does not answer, in milliseconds; the reader notices soonest that it is back, and tells the others. */
-const readerPauseMs = 1000;
-const otherPauseMs = 2000;
+/** Longest pause between retries while the store doesn't answer. The reader retries more often and informs the others when the store is back. */
+const maxReaderPauseMs = 1000;
+const maxOtherPauseMs = 2000;
 
-export const getLongestPause = ({rank}: StoreRole): number => rank <= 1 ? readerPauseMs : otherPauseMs;
+export const getLongestPause = ({rank}: StoreRole): number => rank <= 1 ? maxReaderPauseMs : maxOtherPauseMs;
 
-/** Time for which nobody was heard to hold the lease after which a daemon looks for it in the store, in milliseconds by rank: all at once would read and write the same record. */
-const seekStepMs = 400;
-const servedSeekMs = 2500;
+/**
+ * Delay after the last report of a lease holder before a daemon looks up the lease in the store. It increases with the
+ * daemon's rank, so that not all daemons read and write the same record at once.
+ */
+const lookupDelayPerRankMs = 400;
+const maxLookupDelayMs = 2500;
 
-export const getSeekDelay = ({rank}: StoreRole): number => Math.min(rank * seekStepMs, servedSeekMs);
+export const getSeekDelay = ({rank}: StoreRole): number => Math.min(rank * lookupDelayPerRankMs, maxLookupDelayMs);
