--- a/packages/core/src/fleet/fleet.test.ts
+++ b/packages/core/src/fleet/fleet.test.ts
@@ -4,7 +4,7 @@
 import {type LogRecord} from '@shallotpass/common/log-service.js';
 import {type LogOffset} from '@shallotpass/common/types.js';
 import fc from 'fast-check';
-import {foldFleetRecord, longestLeaseMs, makeFleetState} from './fold-fleet.js';
+import {foldFleetRecord, maxLeaseMs, makeFleetState} from './fold-fleet.js';
 import {noteRefusal} from './note-refusal.js';
 import {makePlanFleet} from './plan-fleet.js';
 import {foreseeDemand, smoothDemand} from './smooth-demand.js';
@@ -20,20 +20,20 @@
 	kind: 'orders', id: 'o', availabilityZone: zone, fencing, orders: [{token, machineClass: 'a', isReclaimable: true}], closed: [], refusals: [],
 });
 
-const fold = (records: ReadonlyArray<{readonly at: number; readonly record: unknown}>): FleetState => {
+const applyAll = (records: ReadonlyArray<{readonly at: number; readonly record: unknown}>): FleetState => {
 	let state = makeFleetState();
 	for (const [offset, {at, record}] of records.entries()) {
 		const entry: LogRecord = {offset: offset as LogOffset, appendedAt: at, record};
 		state = foldFleetRecord(state, entry);
-		// A record that is read again changes nothing.
+		// Applying a record a second time must not change the state.
 		assert.equal(foldFleetRecord(state, entry), state);
 	}
 
 	return state;
 };
 
-test('a lease is kept by its holder, taken over only past its time by the log, and old orders do not count', () => {
-	const state = fold([
+test('a lease is taken over only after it has expired by the log\'s time, and orders of a former holder are ignored', () => {
+	const state = applyAll([
 		{at: 0, record: makeLease('left', 1000)},
 		{at: 500, record: makeLease('right', 2000)},
 		{at: 600, record: makeOrders(0, 'of-left')},
@@ -41,18 +41,18 @@
 		{at: 800, record: makeLease('left', 1500, 0)},
 		{at: 1600, record: makeLease('right', 3000)},
 		{at: 1700, record: makeOrders(0, 'late-of-left')},
-		{at: 1800, record: 'nothing of ours'},
+		{at: 1800, record: 'not a fleet record'},
 	]);
 	assert.deepEqual(state.leases.get(zone), {holder: 'right', until: 3000, fencing: 5});
 	assert.deepEqual([...state.orders.keys()], ['of-left']);
 });
 
-test('a holder whose clock is years ahead has the duty for a minute at most', () => {
-	const state = fold([{at: 0, record: makeLease('left', Number.MAX_SAFE_INTEGER)}]);
-	assert.equal(state.leases.get(zone)!.until, longestLeaseMs);
+test('a holder whose clock is years ahead holds the lease for at most a minute', () => {
+	const state = applyAll([{at: 0, record: makeLease('left', Number.MAX_SAFE_INTEGER)}]);
+	assert.equal(state.leases.get(zone)!.until, maxLeaseMs);
 });
 
-test('in any order of records no two holders have one fencing number, and it only rises', () => {
+test('for any order of records the fencing token never decreases and belongs to one holder', () => {
 	const record = fc.oneof(
 		fc.record({holder: fc.constantFrom('left', 'right'), until: fc.nat(5000), fencing: fc.option(fc.nat(10), {nil: undefined})}).map(({holder, until, fencing}) => makeLease(holder, until, fencing)),
 		fc.record({fencing: fc.nat(10), token: fc.constantFrom('a', 'b', 'c')}).map(({fencing, token}) => makeOrders(fencing, token)),
@@ -61,16 +61,16 @@
 		let state = makeFleetState();
 		let at = 0;
 		const holders = new Map<number, string>();
-		let highest = -1;
+		let highestFencing = -1;
 		for (const [offset, step] of steps.entries()) {
 			at += step.passed;
 			state = foldFleetRecord(state, {offset: offset as LogOffset, appendedAt: at, record: step.record});
 			const lease = state.leases.get(zone);
 			if (lease !== undefined) {
 				assert.equal(holders.get(lease.fencing) ?? lease.holder, lease.holder);
-				assert.ok(lease.fencing >= highest);
+				assert.ok(lease.fencing >= highestFencing);
 				holders.set(lease.fencing, lease.holder);
-				highest = lease.fencing;
+				highestFencing = lease.fencing;
 			}
 		}
 	}), {seed: 7});
@@ -95,35 +95,35 @@
 const plan = makePlanFleet({
 	headroom: 1, chance: 0, leastPlaces: 0, leastStayMs: 0,
 });
-const listClasses = (changes: Partial<FleetView>): string[] => plan(makeView(changes)).starts.map(offer => `${offer.machineClass}${offer.isReclaimable ? '' : ' on demand'}`);
+const listStartedClasses = (changes: Partial<FleetView>): string[] => plan(makeView(changes)).starts.map(offer => `${offer.machineClass}${offer.isReclaimable ? '' : ' on demand'}`);
 
-test('many places come from the class that has them cheapest, the last few from one that is not mostly empty', () => {
-	assert.deepEqual(listClasses({demandPlaces: 48}), ['big', 'small']);
-	assert.deepEqual(listClasses({demandPlaces: 5}), ['small']);
-	assert.deepEqual(listClasses({demandPlaces: 48, fixedPlaces: 50}), []);
+test('most places come from the machine class with the lowest price per place, the last few from a class that fits them', () => {
+	assert.deepEqual(listStartedClasses({demandPlaces: 48}), ['big', 'small']);
+	assert.deepEqual(listStartedClasses({demandPlaces: 5}), ['small']);
+	assert.deepEqual(listStartedClasses({demandPlaces: 48, fixedPlaces: 50}), []);
 });
 
-test('what is refused is left out until its time, and on demand is the last resort', () => {
+test('a refused offer is skipped until its backoff ends, and on-demand instances are used last', () => {
 	const refusals = ['zone-1 big reclaimable', 'zone-1 small reclaimable'].map(offer => ({offer, times: 1, until: 100}));
-	assert.deepEqual(listClasses({demandPlaces: 5, refusals}), ['small on demand']);
-	assert.deepEqual(listClasses({demandPlaces: 5, refusals, now: 100}), ['small']);
+	assert.deepEqual(listStartedClasses({demandPlaces: 5, refusals}), ['small on demand']);
+	assert.deepEqual(listStartedClasses({demandPlaces: 5, refusals, now: 100}), ['small']);
 });
 
-test('however it stands, a plan starts or ends, never both, and leaves the places that are needed', () => {
+test('a plan never both starts and ends instances, and always keeps the needed places', () => {
 	const instance = fc.record({index: fc.nat(2), isLeaving: fc.boolean()});
-	fc.assert(fc.property(fc.array(instance, {maxLength: 12}), fc.nat(200), (items, demandPlaces) => {
-		const instances = items.map(({index, isLeaving}, number) => ({
+	fc.assert(fc.property(fc.array(instance, {maxLength: 12}), fc.nat(200), (generated, demandPlaces) => {
+		const instances = generated.map(({index, isLeaving}, number) => ({
 			...offers[index]!, id: String(number), token: String(number), startedAt: -1, isLeaving,
 		}));
 		const {starts, ends} = plan(makeView({instances, demandPlaces}));
 		assert.ok(starts.length === 0 || ends.length === 0);
-		const count = (list: ReadonlyArray<{readonly places?: number}>): number => list.reduce((sum, item) => sum + (item.places ?? 0), 0);
-		const left = count(instances.filter(item => !item.isLeaving && !ends.some(end => end.id === item.id))) + count(starts);
+		const countPlaces = (list: ReadonlyArray<{readonly places?: number}>): number => list.reduce((sum, item) => sum + (item.places ?? 0), 0);
+		const left = countPlaces(instances.filter(item => !item.isLeaving && !ends.some(end => end.id === item.id))) + countPlaces(starts);
 		assert.ok(left >= demandPlaces, `${left} of ${demandPlaces}`);
 	}), {seed: 7});
 });
 
-test('refusals are asked for again later and later, and forgotten after a long quiet time', () => {
+test('the backoff after refusals grows exponentially and is reset after a long time without refusals', () => {
 	const offer = offers[0]!;
 	const first = noteRefusal({
 		known: undefined, offer, now: 0, firstWaitMs: 100, random: () => 0.5,
@@ -137,7 +137,7 @@
 	assert.deepEqual([first.until, second.until, later.times], [100, 300, 1]);
 });
 
-test('the demand rises at once, falls slowly, and is foreseen when it rises', () => {
+test('the smoothed demand rises at once, falls slowly, and is forecast to rise further', () => {
 	const options = {fallMs: 1000, slopeMs: 100};
 	const low = smoothDemand(undefined, 10, 0, options);
 	const high = smoothDemand(low, 50, 100, options);
--- a/packages/core/src/fleet/fold-fleet.ts
+++ b/packages/core/src/fleet/fold-fleet.ts
@@ -1,34 +1,33 @@
 /**
- * The fleet stream: who has the duty of a zone, and what was ordered. A record of a
- * holder whose lease another has taken over changes nothing, for every reader alike:
- * a holder that was paused past its lease sees from the log that its orders did not
- * count, and carries none of them out.
+ * State of the fleet stream: which daemon holds the lease of a zone's fleet, and which instances were ordered.
+ * Every reader ignores records of a holder whose lease was taken over. A holder that was paused past the end of
+ * its lease learns from the log that its orders were ignored, and executes none of them.
  */
 import {fleetRecordSchema, type FleetRecord} from '@shallotpass/common/log-records.js';
 import {type LogRecord} from '@shallotpass/common/log-service.js';
 import {type LogOffset} from '@shallotpass/common/types.js';
 import {type FleetLease, type FleetState} from './types.js';
 
-/** A lease may not reach further than this past the log's own time, or a holder with a wrong clock would keep the duty for good. */
-export const longestLeaseMs = 60_000;
+/** Longest lease, counted from the log's time. Without this limit a holder whose clock is ahead could keep the lease forever. */
+export const maxLeaseMs = 60_000;
 
-/** Closed orders are remembered for so many, so that a late instance of one is known and ended. */
-const mostClosedOrders = 1000;
+/** Number of closed orders that are kept, so that an instance that appears late is recognized and ended. */
+const maxClosedOrders = 1000;
 
 export const makeFleetState = (): FleetState => ({
 	leases: new Map(), orders: new Map(), refusals: new Map(), next: 0 as LogOffset,
 });
 
-const isFree = (lease: FleetLease | undefined, at: number): boolean => lease === undefined || lease.until <= at;
+const isUnheld = (lease: FleetLease | undefined, at: number): boolean => lease === undefined || lease.until <= at;
 
-const foldLease = (state: FleetState, record: Extract<FleetRecord, {kind: 'lease'}>, {offset, appendedAt}: LogRecord): FleetState => {
+const applyLease = (state: FleetState, record: Extract<FleetRecord, {kind: 'lease'}>, {offset, appendedAt}: LogRecord): FleetState => {
 	const current = state.leases.get(record.availabilityZone);
 	const isRenewal = current?.holder === record.holder && current.fencing === record.fencing;
-	if (!isRenewal && !isFree(current, appendedAt)) {
+	if (!isRenewal && !isUnheld(current, appendedAt)) {
 		return state;
 	}
 
-	const until = Math.min(record.until, appendedAt + longestLeaseMs);
+	const until = Math.min(record.until, appendedAt + maxLeaseMs);
 	return {
 		...state,
 		leases: new Map(state.leases).set(record.availabilityZone, {
@@ -37,23 +36,23 @@
 	};
 };
 
-const forgetClosed = (orders: FleetState['orders']): FleetState['orders'] => {
+const dropOldestClosedOrders = (orders: FleetState['orders']): FleetState['orders'] => {
 	const closed = [...orders.values()].filter(order => order.isClosed);
-	if (closed.length <= mostClosedOrders) {
+	if (closed.length <= maxClosedOrders) {
 		return orders;
 	}
 
 	const next = new Map(orders);
-	for (const {token} of closed.slice(0, closed.length - mostClosedOrders)) {
+	for (const {token} of closed.slice(0, closed.length - maxClosedOrders)) {
 		next.delete(token);
 	}
 
 	return next;
 };
 
-const foldRecord = (state: FleetState, record: FleetRecord, entry: LogRecord): FleetState => {
+const applyRecord = (state: FleetState, record: FleetRecord, entry: LogRecord): FleetState => {
 	if (record.kind === 'lease') {
-		return foldLease(state, record, entry);
+		return applyLease(state, record, entry);
 	}
 
 	if (state.leases.get(record.availabilityZone)?.fencing !== record.fencing) {
@@ -70,10 +69,10 @@
 	}
 
 	for (const token of record.closed) {
-		const known = orders.get(token);
-		if (known?.availabilityZone === record.availabilityZone) {
+		const ordered = orders.get(token);
+		if (ordered?.availabilityZone === record.availabilityZone) {
 			orders.delete(token);
-			orders.set(token, {...known, isClosed: true});
+			orders.set(token, {...ordered, isClosed: true});
 		}
 	}
 
@@ -82,19 +81,20 @@
 		refusals.set(refusal.offer, refusal);
 	}
 
-	return {...state, orders: forgetClosed(orders), refusals};
+	return {...state, orders: dropOldestClosedOrders(orders), refusals};
 };
 
+/** Applies the next record of the stream. A record that was applied before changes nothing. */
 export const foldFleetRecord = (state: FleetState, entry: LogRecord): FleetState => {
 	if (entry.offset < state.next) {
 		return state;
 	}
 
 	const parsed = fleetRecordSchema.safeParse(entry.record);
-	const next = parsed.success ? foldRecord(state, parsed.data, entry) : state;
+	const next = parsed.success ? applyRecord(state, parsed.data, entry) : state;
 	return {...next, next: (entry.offset + 1) as LogOffset};
 };
 
-/** Whether the duty may be taken: nobody has it, or the holder's time is up. */
+/** Whether the zone's lease can be taken: it has no holder, or it has expired. */
 export const isLeaseFree = (state: FleetState, availabilityZone: string, now: number): boolean =>
-	isFree(state.leases.get(availabilityZone), now);
+	isUnheld(state.leases.get(availabilityZone), now);
--- a/packages/core/src/fleet/note-refusal.ts
+++ b/packages/core/src/fleet/note-refusal.ts
@@ -1,25 +1,27 @@
-/** Starts that the cloud refuses are asked for again later and later, so that a wave of refusals meets no storm of requests. */
+/** Exponential backoff for instance starts that the cloud refuses, so that many refusals at once don't cause a burst of retries. */
 import {makeOfferKey, type OfferName, type Refusal} from './types.js';
 
-const mostDoublings = 6;
+/** Refusals that lengthen the wait; further ones leave it unchanged. */
+const maxCountedRefusals = 6;
 
 type RefusalOptions = {
-	/** The last one of the offer. */
+	/** Previous refusal of the same offer. */
 	readonly known: Refusal | undefined;
 	readonly offer: OfferName;
 	readonly now: number;
-	/** Wait after a first refusal, in milliseconds. */
+	/** Wait after the first refusal, in milliseconds. */
 	readonly firstWaitMs: number;
 	readonly random: () => number;
 };
 
-/** After so many waits without a refusal the next one counts as a first. */
-const forgottenAfterWaits = 4;
+/** Earlier refusals are forgotten when this multiple of the next wait has passed since the end of the last one. */
+const resetAfterWaits = 4;
 
+/** Returns the refusal to record for an offer, with the end of its wait. */
 export const noteRefusal = ({known, offer, now, firstWaitMs, random}: RefusalOptions): Refusal => {
-	const isOld = known !== undefined && now > known.until + (firstWaitMs * forgottenAfterWaits * (2 ** known.times));
-	const times = Math.min(mostDoublings, (isOld ? 0 : known?.times ?? 0) + 1);
-	// Spread over half the wait, so that the holders of all zones do not come back together.
+	const isExpired = known !== undefined && now > known.until + (firstWaitMs * resetAfterWaits * (2 ** known.times));
+	const times = Math.min(maxCountedRefusals, (isExpired ? 0 : known?.times ?? 0) + 1);
+	// Jitter of half the wait, so that the lease holders of all zones don't retry at the same time.
 	const until = now + (firstWaitMs * (2 ** (times - 1)) * (0.75 + (random() / 2)));
 	return {offer: makeOfferKey(offer), times, until};
 };
--- a/packages/core/src/fleet/plan-fleet.ts
+++ b/packages/core/src/fleet/plan-fleet.ts
@@ -1,39 +1,43 @@
-/** How many instances of which offer: enough places for the work to come, at the lowest price, spread over zones. */
+/** Plans how many instances of each offer to run: enough places for the expected load, at the lowest price, spread over zones. */
 import {
 	makeOfferKey, type FleetInstance, type FleetPlan, type FleetView, type Offer, type OfferName, type PlanFleet,
 } from './types.js';
 
 export type PlanOptions = {
-	/** Places kept over the places needed, as a factor. */
+	/** Factor by which the planned places exceed the needed ones. */
 	readonly headroom: number;
-	/** Places kept for chance, times the square root of the places needed: a small fleet needs a larger part to spare than a large one. */
+	/**
+	 * Reserve for random peaks, multiplied by the square root of the needed places: the load of a small fleet varies
+	 * more in proportion than that of a large one.
+	 */
 	readonly chance: number;
-	/** Places that stay whatever the demand. */
+	/** Minimum number of places, independent of the demand. */
 	readonly leastPlaces: number;
-	/** Ends nothing that was started later than this long ago, in milliseconds: its start was paid for. */
+	/** Minimum runtime of an instance before it is ended, in milliseconds, because its start was billed. */
 	readonly leastStayMs: number;
 };
 
-/** Places over the goal before something is ended, as a factor; a fleet at its goal would start and end by turns. */
+/** Instances are ended only above this multiple of the target. Without it a fleet at its target would alternate between starting and ending instances. */
 const surplusFactor = 1.15;
 
-/** What an offer in a zone that has all places is dearer by in the choice, so that one zone's end leaves most. */
-const spreadWeight = 0.4;
+/** Price surcharge for a zone that holds all places, in proportion to a zone's share, so that most places survive the failure of a zone. */
+const concentrationSurcharge = 0.4;
 
-/** What a reclaim costs on the mean: places that are gone while another instance starts. */
-const reclaimWeight = 0.1;
+/** Price surcharge for reclaimable offers: the mean cost of places that are missing while a replacement starts. */
+const reclaimSurcharge = 0.1;
 
-/** An on-demand instance gives way to a reclaimable one that costs at most this part of it. */
-const swapBelow = 0.8;
+/** An on-demand instance is replaced by a reclaimable one that costs less than this fraction of it. */
+const maxSwapPriceRatio = 0.8;
 
-type Standing = OfferName & {readonly places: number; readonly creditsPerHour: number};
+/** Capacity that is running or ordered, with its price. */
+type PlannedCapacity = OfferName & {readonly places: number; readonly creditsPerHour: number};
 
 const findOffer = (offers: readonly Offer[], name: OfferName): Offer | undefined => {
 	const key = makeOfferKey(name);
 	return offers.find(offer => makeOfferKey(offer) === key);
 };
 
-const makeStanding = (offers: readonly Offer[], name: OfferName): Standing => {
+const makePlannedCapacity = (offers: readonly Offer[], name: OfferName): PlannedCapacity => {
 	const offer = findOffer(offers, name);
 	return {...name, places: offer?.places ?? 0, creditsPerHour: offer?.creditsPerHour ?? 0};
 };
@@ -47,21 +51,21 @@
 	return sum;
 };
 
-/** Price of one place, with what makes the offer worse than its price says. */
-const weighPrice = (offer: Standing, standing: readonly Standing[]): number => {
-	const all = sumPlaces(standing);
-	const here = sumPlaces(standing.filter(item => item.availabilityZone === offer.availabilityZone));
-	const spread = all === 0 ? 0 : here / all;
-	return offer.creditsPerHour / offer.places * (1 + (spread * spreadWeight) + (offer.isReclaimable ? reclaimWeight : 0));
+/** Computes the price of one place, with the surcharges for zone concentration and for reclaimable offers. */
+const computeWeightedPrice = (offer: PlannedCapacity, capacity: readonly PlannedCapacity[]): number => {
+	const totalPlaces = sumPlaces(capacity);
+	const zonePlaces = sumPlaces(capacity.filter(item => item.availabilityZone === offer.availabilityZone));
+	const zoneShare = totalPlaces === 0 ? 0 : zonePlaces / totalPlaces;
+	return offer.creditsPerHour / offer.places * (1 + (zoneShare * concentrationSurcharge) + (offer.isReclaimable ? reclaimSurcharge : 0));
 };
 
-/** The cheapest a place; for the last few places, the cheapest that has them. */
-const pickOffer = (offers: readonly Offer[], standing: readonly Standing[], missing: number): Offer | undefined => {
+/** Picks the offer with the lowest price per place that is still missing. */
+const pickOffer = (offers: readonly Offer[], capacity: readonly PlannedCapacity[], missing: number): Offer | undefined => {
 	let best: Offer | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
 	for (const offer of offers) {
-		// Places beyond the missing ones are paid for in vain.
-		const cost = weighPrice(offer, standing) * offer.places / Math.min(offer.places, missing);
+		// Places beyond the missing ones have no use but are billed.
+		const cost = computeWeightedPrice(offer, capacity) * offer.places / Math.min(offer.places, missing);
 		if (cost < bestCost) {
 			best = offer;
 			bestCost = cost;
@@ -71,62 +75,63 @@
 	return best;
 };
 
-const chooseStarts = (open: readonly Offer[], standing: Standing[], missing: number): Offer[] => {
+const chooseStarts = (openOffers: readonly Offer[], capacity: PlannedCapacity[], missing: number): Offer[] => {
 	const starts: Offer[] = [];
-	let left = missing;
-	while (left > 0) {
-		const offer = pickOffer(open, standing, left);
+	let remaining = missing;
+	while (remaining > 0) {
+		const offer = pickOffer(openOffers, capacity, remaining);
 		if (offer === undefined) {
 			return starts;
 		}
 
 		starts.push(offer);
-		standing.push(offer);
-		left -= offer.places;
+		capacity.push(offer);
+		remaining -= offer.places;
 	}
 
 	return starts;
 };
 
-/** An order or instance of a reclaimable kind that would do the work of one on demand. */
-const chooseSwap = (view: FleetView, open: readonly Offer[], standing: readonly Standing[]): Offer[] => {
-	const dear = view.instances.map(instance => makeStanding(view.offers, instance)).find(item => !item.isReclaimable && item.places > 0);
-	if (dear === undefined || view.openOrders.length > 0) {
+/** Chooses a reclaimable offer to start as the replacement of a more expensive on-demand instance. */
+const chooseReplacement = (view: FleetView, openOffers: readonly Offer[], capacity: readonly PlannedCapacity[]): Offer[] => {
+	const onDemand = view.instances.map(instance => makePlannedCapacity(view.offers, instance)).find(item => !item.isReclaimable && item.places > 0);
+	if (onDemand === undefined || view.openOrders.length > 0) {
 		return [];
 	}
 
-	const cheap = pickOffer(open.filter(offer => offer.isReclaimable), standing, dear.places);
-	return cheap !== undefined && weighPrice(cheap, standing) < weighPrice(dear, standing) * swapBelow ? [cheap] : [];
+	const replacement = pickOffer(openOffers.filter(offer => offer.isReclaimable), capacity, onDemand.places);
+	return replacement !== undefined && computeWeightedPrice(replacement, capacity) < computeWeightedPrice(onDemand, capacity) * maxSwapPriceRatio ? [replacement] : [];
 };
 
 const chooseEnds = (view: FleetView, options: PlanOptions, surplus: number): FleetInstance[] => {
 	const ends: FleetInstance[] = [];
-	let left = surplus;
+	let remainingSurplus = surplus;
 	const byPrice = view.instances
 		.filter(instance => !instance.isLeaving && view.now - instance.startedAt >= options.leastStayMs)
-		.map(instance => ({instance, ...makeStanding(view.offers, instance)}))
+		.map(instance => ({instance, ...makePlannedCapacity(view.offers, instance)}))
 		.filter(({places}) => places > 0)
 		.toSorted((one, other) => (other.creditsPerHour / other.places) - (one.creditsPerHour / one.places));
 	for (const {instance, places} of byPrice) {
-		if (places <= left) {
+		if (places <= remainingSurplus) {
 			ends.push(instance);
-			left -= places;
+			remainingSurplus -= places;
 		}
 	}
 
 	return ends;
 };
 
+/** Makes a planner that starts instances below the target, ends some above it, and otherwise replaces on-demand instances. */
 export const makePlanFleet = (options: PlanOptions): PlanFleet => (view): FleetPlan => {
-	const goal = Math.max(options.leastPlaces, (view.demandPlaces * options.headroom) + (options.chance * Math.sqrt(view.demandPlaces)));
-	const standing = [...view.instances.filter(instance => !instance.isLeaving), ...view.openOrders].map(item => makeStanding(view.offers, item));
-	const have = view.fixedPlaces + sumPlaces(standing);
+	const targetPlaces = Math.max(options.leastPlaces, (view.demandPlaces * options.headroom) + (options.chance * Math.sqrt(view.demandPlaces)));
+	const capacity = [...view.instances.filter(instance => !instance.isLeaving), ...view.openOrders].map(item => makePlannedCapacity(view.offers, item));
+	const currentPlaces = view.fixedPlaces + sumPlaces(capacity);
 	const refused = new Set(view.refusals.filter(refusal => refusal.until > view.now).map(refusal => refusal.offer));
-	const open = view.offers.filter(offer => offer.places > 0 && !refused.has(makeOfferKey(offer)));
-	if (have < goal) {
-		return {starts: chooseStarts(open, standing, goal - have), ends: []};
+	const openOffers = view.offers.filter(offer => offer.places > 0 && !refused.has(makeOfferKey(offer)));
+	if (currentPlaces < targetPlaces) {
+		return {starts: chooseStarts(openOffers, capacity, targetPlaces - currentPlaces), ends: []};
 	}
 
-	const ends = chooseEnds(view, options, have - (goal * surplusFactor));
-	return {starts: ends.length > 0 ? [] : chooseSwap(view, open, standing), ends};
+	const ends = chooseEnds(view, options, currentPlaces - (targetPlaces * surplusFactor));
+	return {starts: ends.length > 0 ? [] : chooseReplacement(view, openOffers, capacity), ends};
 };
--- a/packages/core/src/fleet/smooth-demand.ts
+++ b/packages/core/src/fleet/smooth-demand.ts
@@ -1,31 +1,32 @@
-/** The demand that the fleet is sized for: up at once, down slowly, and ahead of a rise by the time a start takes. */
+/** Smooths the demand that the fleet is sized for. It follows a rise at once and a fall slowly, and is forecast over the time that a start takes. */
 
 export type SmoothedDemand = {
-	/** Places. */
+	/** Smoothed demand in places. */
 	readonly level: number;
-	/** Places a millisecond; what the demand has been changing by. */
+	/** Smoothed rate of change, in places per millisecond. */
 	readonly slope: number;
 	readonly at: number;
 };
 
 export type SmoothingOptions = {
-	/** Time in which what is gone from the demand is forgotten by all but a third, in milliseconds. */
+	/** Time constant of the exponential decay after a fall, in milliseconds. */
 	readonly fallMs: number;
-	/** Time over which the slope is taken, in milliseconds. */
+	/** Time constant over which the slope is averaged, in milliseconds. */
 	readonly slopeMs: number;
 };
 
-export const smoothDemand = (before: SmoothedDemand | undefined, places: number, now: number, options: SmoothingOptions): SmoothedDemand => {
-	if (before === undefined || now <= before.at) {
-		return {level: places, slope: before?.slope ?? 0, at: now};
+/** Updates the smoothed demand with the places that are needed now. */
+export const smoothDemand = (previous: SmoothedDemand | undefined, places: number, now: number, options: SmoothingOptions): SmoothedDemand => {
+	if (previous === undefined || now <= previous.at) {
+		return {level: places, slope: previous?.slope ?? 0, at: now};
 	}
 
-	const passedMs = now - before.at;
-	const fallen = before.level + ((places - before.level) * (1 - Math.exp(-passedMs / options.fallMs)));
-	const level = Math.max(places, fallen);
-	const weight = 1 - Math.exp(-passedMs / options.slopeMs);
-	return {level, slope: before.slope + ((((level - before.level) / passedMs) - before.slope) * weight), at: now};
+	const elapsedMs = now - previous.at;
+	const decayed = previous.level + ((places - previous.level) * (1 - Math.exp(-elapsedMs / options.fallMs)));
+	const level = Math.max(places, decayed);
+	const weight = 1 - Math.exp(-elapsedMs / options.slopeMs);
+	return {level, slope: previous.slope + ((((level - previous.level) / elapsedMs) - previous.slope) * weight), at: now};
 };
 
-/** Places that will be needed when an instance that is ordered now serves. */
+/** Returns the places that will be needed when an instance that is ordered now is ready. */
 export const foreseeDemand = ({level, slope}: SmoothedDemand, startMs: number): number => level + Math.max(0, slope * startMs);
--- a/packages/core/src/fleet/types.ts
+++ b/packages/core/src/fleet/types.ts
@@ -1,7 +1,7 @@
-/** What fleet duty knows and decides. Capacity is counted in places: answers that run at once within their targets. */
+/** Input and output of fleet planning. Capacity is counted in places: calls that run concurrently within their latency targets. */
 import {type LogOffset} from '@shallotpass/common/types.js';
 
-/** A kind of instance that the cloud has on offer. */
+/** A type of instance that the cloud offers. */
 export type Offer = {
 	readonly availabilityZone: string;
 	readonly machineClass: string;
@@ -15,14 +15,14 @@
 /** An instance that was started for an order. */
 export type FleetInstance = OfferName & {
 	readonly id: string;
-	/** Of the order that it was started for. */
+	/** Token of the order that it was started for. */
 	readonly token: string;
 	readonly startedAt: number;
-	/** Its reclaim was announced. */
+	/** Whether the cloud has announced that it will reclaim the instance. */
 	readonly isLeaving: boolean;
 };
 
-/** An order to start one instance; the cloud starts one for a token, however often it is asked. */
+/** An order to start one instance. The token makes the start idempotent: the cloud starts one instance per token. */
 export type FleetOrder = OfferName & {
 	readonly token: string;
 	readonly orderedAt: number;
@@ -32,27 +32,30 @@
 
 export type FleetLease = {
 	readonly holder: string;
-	/** By the log's own clock, milliseconds since the epoch. */
+	/** End of the lease by the log's clock, in milliseconds since the epoch. */
 	readonly until: number;
-	/** Offset of the record that the holder took the duty with; it goes with every order. */
+	/** Fencing token that goes with every order: the offset of the record with which the holder took the lease. */
 	readonly fencing: LogOffset;
 };
 
-/** The fold of the fleet stream. */
+/** State that results from applying the records of the fleet stream. */
 export type FleetState = {
+	/** Leases by availability zone. */
 	readonly leases: ReadonlyMap<string, FleetLease>;
+	/** Orders by token. */
 	readonly orders: ReadonlyMap<string, FleetOrder>;
-	/** By offer. */
+	/** Last refusal by offer. */
 	readonly refusals: ReadonlyMap<string, Refusal>;
-	/** Offset after the last record. */
+	/** Offset of the next record to apply. */
 	readonly next: LogOffset;
 };
 
-/** An offer that the cloud refused of late. */
+/** A recent refusal by the cloud to start an instance of an offer. */
 export type Refusal = {
 	readonly offer: string;
+	/** Consecutive refusals. */
 	readonly times: number;
-	/** Nothing of the offer is asked for before. */
+	/** The offer is not requested again before this time. */
 	readonly until: number;
 };
 
@@ -60,11 +63,11 @@
 	readonly now: number;
 	readonly offers: readonly Offer[];
 	readonly instances: readonly FleetInstance[];
-	/** Orders whose instance has not shown yet. */
+	/** Orders whose instance has not appeared yet. */
 	readonly openOrders: readonly FleetOrder[];
-	/** Places of backend servers that no order started. */
+	/** Places of backend servers that were not started by an order. */
 	readonly fixedPlaces: number;
-	/** Places that the work of the next while needs. */
+	/** Places that the expected load needs. */
 	readonly demandPlaces: number;
 	readonly refusals: readonly Refusal[];
 };
@@ -75,7 +78,7 @@
 	readonly ends: readonly FleetInstance[];
 };
 
-/** A way of deciding; the baselines of the measurements are others. */
+/** A planning policy. The measurements compare this project's policy with baseline policies of the same type. */
 export type PlanFleet = (view: FleetView) => FleetPlan;
 
 export const makeOfferKey = ({availabilityZone, machineClass, isReclaimable}: OfferName): string =>
