--- a/packages/core/src/engines/engines.test.ts
+++ b/packages/core/src/engines/engines.test.ts
@@ -20,14 +20,14 @@
 	.filter(order => order.isReclaimable === isReclaimable && (zone === undefined || order.availabilityZone === zone))
 	.reduce((sum, order) => sum + order.count, 0);
 
-test('where reclaimable ones are to be had, all are reclaimable and spread, so many that two waves leave what is needed', () => {
+test('when reclaimable servers are available, only these are ordered, evenly and enough to survive two waves', () => {
 	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 0, starting: 4}));
 	const orders = plan(zones, 4);
 	assert.deepEqual([count(orders, false), count(orders, true)], [0, 12]);
 	assert.deepEqual(['a', 'b', 'c'].map(zone => count(orders, true, zone)), [4, 4, 4]);
 });
 
-test('where reclaimable ones cost half of the full price, one wave is covered', () => {
+test('only one wave is covered when reclaimable servers cost half of the full price', () => {
 	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 0, starting: 4}));
 	const orders = planEngines({
 		service: 'llm', bounds: {...bounds, reclaimablePrice: 0.5}, zones, needed: 4, assumed: 0, now: 1000,
@@ -35,10 +35,10 @@
 	assert.deepEqual([count(orders, false), count(orders, true)], [0, 6]);
 });
 
-test('guards against a wave that takes what the load needs', () => {
+test('the needed backend servers survive a reclaim wave in any zone', () => {
 	for (const names of [['a', 'b'], ['a', 'b', 'c'], ['a', 'b', 'c', 'd']]) {
 		for (let needed = 1; needed <= 8; needed++) {
-			// What was ordered runs now.
+			// The ordered backend servers run now.
 			let zones = names.map(zone => makeZone(zone, {full: 0, starting: 8}));
 			const orders = plan(zones, needed);
 			zones = names.map(zone => makeZone(zone, {full: count(orders, false, zone), reclaimable: count(orders, true, zone)}));
@@ -50,26 +50,26 @@
 	}
 });
 
-test('guards against further waves while no reclaimable ones are to be had', () => {
+test('on-demand servers cover further waves while no reclaimable servers are available', () => {
 	const refused = {refusedUntil: 9000};
 	const afterOne = [makeZone('a', {full: 0, reclaimable: 4, ...refused}), makeZone('b', {full: 0, reclaimable: 4, ...refused}), makeZone('c', {full: 0, ...refused})];
 	const orders = plan(afterOne, 4);
 	assert.equal(count(orders, true), 8);
-	// The next two waves take all eight.
+	// The next two waves would take all eight reclaimable servers.
 	assert.equal(count(orders, false), 4);
 	assert.equal(count(orders, false, 'c'), 4);
 });
 
-test('guards against paying the full price for waves that leave most zones', () => {
+test('no on-demand servers are ordered for a second wave that leaves most zones running', () => {
 	const names = ['a', 'b', 'c', 'd', 'e'];
 	const zones = names.map((zone, index) => makeZone(zone, {full: 0, reclaimable: index === 0 ? 0 : 4, refusedUntil: 9000}));
 	const orders = plan(zones, 14);
 	assert.equal(count(orders, true), 16);
-	// The next wave takes four of the sixteen, the one after it eight.
+	// One wave takes four of the sixteen reclaimable servers, two take eight.
 	assert.equal(count(orders, false), 2);
 });
 
-test('what ran before is kept until the load shows, of the cheaper kind', () => {
+test('the number that ran before is kept until the load is known, as reclaimable servers', () => {
 	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 4, starting: 4}));
 	const orders = planEngines({
 		service: 'llm', bounds, zones, needed: 0, assumed: 12, now: 1000,
@@ -77,7 +77,7 @@
 	assert.deepEqual([count(orders, false), count(orders, true)], [0, 12]);
 });
 
-test('guards against a fleet at the full price in place of the reclaimable ones that a new holder found', () => {
+test('no on-demand servers are started for the number that a new lease holder assumes', () => {
 	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 0, refusedUntil: 9000}));
 	const orders = planEngines({
 		service: 'llm', bounds, zones, needed: 3, assumed: 18, now: 1000,
@@ -85,12 +85,12 @@
 	assert.equal(count(orders, false), 3);
 });
 
-test('what reclaimable ones cannot cover yet is ordered at the full price', () => {
+test('on-demand servers are ordered for what reclaimable servers cannot cover yet', () => {
 	const zones = [makeZone('a', {reclaimable: 3}), makeZone('b', {reclaimable: 0, refusedUntil: 9000}), makeZone('c', {reclaimable: 0, refusedUntil: 9000})];
 	assert.equal(count(plan(zones, 9), false), 9);
 });
 
-test('a new try for reclaimable ones ends nothing that runs', () => {
+test('a new attempt to order reclaimable servers ends no running on-demand servers', () => {
 	const full = {a: 4, b: 3, c: 2};
 	const zones = Object.entries(full).map(([zone, running]) => makeZone(zone, {full: running}));
 	const orders = plan(zones, 9);
@@ -98,22 +98,22 @@
 	assert.ok(count(orders, true) > 0);
 });
 
-test('full-price ones are kept until the reclaimable ones in their place run', () => {
+test('on-demand servers are kept until the reclaimable servers that replace them run', () => {
 	const starting = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 3, starting: 4}));
 	assert.equal(count(plan(starting, 9), false), 9);
 	const running = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 3, reclaimable: 4}));
 	assert.equal(count(plan(running, 4), false), 0);
 });
 
-test('an order that was refused does not end the ones that run', () => {
+test('a refused order does not end the reclaimable servers that run', () => {
 	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {reclaimable: 2, refusedUntil: 9000}));
 	const orders = plan(zones, 9);
 	assert.deepEqual(['a', 'b', 'c'].map(zone => count(orders, true, zone)), [2, 2, 2]);
-	// Two stay after the next waves.
+	// Two of the six reclaimable servers are left after the next two waves.
 	assert.equal(count(orders, false), 7);
 });
 
-test('no zone is ordered beyond its bounds, whatever is needed', () => {
+test('the order of a zone stays within its bounds for any need', () => {
 	for (let needed = 0; needed < 60; needed++) {
 		for (const order of ['a', 'b', 'c']) {
 			const orders = plan(['a', 'b', 'c'].map(zone => makeZone(zone)), needed).filter(({availabilityZone}) => availabilityZone === order);
@@ -127,8 +127,8 @@
 	promptTokensPerSecond: 0, running: 0, present: 12, tokensPerMs: 45, places: 64, bootMs: 4000,
 };
 
-test('guards against engines let go before the load is known', () => {
-	// All daemons were stopped at once, and a new one plans that has seen no caller yet.
+test('backend servers are not ended before the load is known', () => {
+	// All daemons were restarted, and the planning daemon has not received any calls yet.
 	let need = learnNeed(undefined, load, 0);
 	need = learnNeed(need, {...load, present: 3}, 5000);
 	assert.deepEqual([need.engines, need.assumed], [0, 12]);
@@ -140,20 +140,20 @@
 	assert.equal(learnNeed(undefined, {...load, promptTokensPerSecond: 90_000}, 0).assumed, 12);
 });
 
-test('guards against engines ordered for a speed that they do not have', () => {
+test('the need follows the measured speed of the backend servers', () => {
 	const busy = {...load, promptTokensPerSecond: 390_000};
 	assert.equal(learnNeed(undefined, {...busy, tokensPerMs: 30}, 0).engines, 20);
 	assert.equal(learnNeed(undefined, {...busy, tokensPerMs: 120}, 0).engines, 5);
 });
 
-test('guards against engines whose places are taken while they have time to read', () => {
-	const crowded = {
+test('the need follows the running calls when places are short and prompt processing is not', () => {
+	const fullyOccupied = {
 		...load, promptTokensPerSecond: 100_000, tokensPerMs: 200, running: 480, places: 16,
 	};
-	assert.equal(learnNeed(undefined, crowded, 0).engines, 50);
+	assert.equal(learnNeed(undefined, fullyOccupied, 0).engines, 50);
 });
 
-test('a load that wavers about a whole number does not start and end an engine each second', () => {
+test('a load that fluctuates around a whole number does not start and end a backend server each time', () => {
 	let ordered = 0;
 	const orders: number[] = [];
 	for (const engines of [6.9, 7.1, 6.8, 7.2, 6.6, 5.9, 5.6]) {
@@ -164,7 +164,7 @@
 	assert.deepEqual(orders, [7, 8, 8, 8, 7, 7, 6]);
 });
 
-test('a rise is followed at once and a fall slowly', () => {
+test('the need follows a rise at once and a fall slowly', () => {
 	let need = learnNeed(undefined, {...load, promptTokensPerSecond: 225_000, present: 3}, 0);
 	assert.equal(Math.round(need.engines), 8);
 	need = learnNeed(need, {...load, promptTokensPerSecond: 22_500, present: 10}, 5000);
--- a/packages/core/src/engines/need-engines.ts
+++ b/packages/core/src/engines/need-engines.ts
@@ -1,73 +1,84 @@
-/** How many model engines the load needs: what callers send against what an engine does while it answers in time, both as observed. */
+/** Estimates how many backend servers a service needs, from the observed load and the observed speed of a backend server. */
 
-/** Part of an engine's time that reading prompts may take when waves have left no more than are needed. */
-const plannedReading = 0.65;
+/** Planned utilization of a backend server by prompt processing, when reclaim waves have left only as many as are needed. */
+const plannedReadingUtilization = 0.65;
 
-/** Part of an engine's places that may be taken in the mean: calls that meet a full engine wait for a whole answer. */
-const plannedPlaces = 0.6;
+/** Planned mean utilization of a backend server's places. A call that finds all places taken waits until a whole answer is complete. */
+const plannedPlaceUtilization = 0.6;
 
-/** Time in which the memory of a peak of the load falls to a third, in starts of an engine: one that is let go too early is started, and paid for, again. */
-const peakMemoryBoots = 5;
+/**
+ * Time constant with which the estimate decays after a peak, as a multiple of the boot time. A backend server that
+ * is ended too early has to be started and paid for again.
+ */
+const peakDecayBoots = 5;
 
-/** The same for what ran before this daemon planned, in milliseconds: kept through the first seconds, let go when the load shows. */
-const assumedMemoryMs = 7000;
+/**
+ * Time constant with which the number that ran before this daemon began to plan decays. It covers the first seconds,
+ * in which the load is not known yet.
+ */
+const assumedDecayMs = 7000;
 
 export type Need = {
-	/** Backend servers that the load needs. */
+	/** Number of backend servers that the load needs. */
 	readonly engines: number;
-	/** Backend servers that were enough before, whatever the load was. */
+	/** Number that ran before the load was known and is assumed to be sufficient. */
 	readonly assumed: number;
+	/** When the estimate was made, in milliseconds. */
 	readonly at: number;
 };
 
-/** A plan is lowered only when this many fewer are needed: a load that wavers about a whole number would else start and end an engine every second. */
-const lowerBy = 1.3;
+/**
+ * Hysteresis in backend servers: the order is lowered only when more than this many fewer are needed. Otherwise a
+ * load that fluctuates around a whole number would start and end a backend server every second.
+ */
+const hysteresisBackends = 1.3;
 
-/** The whole number of engines to order, given the one that is ordered. */
-export const roundNeed = (engines: number, ordered: number): number => {
-	const wanted = Math.ceil(engines);
-	return wanted > ordered || engines < ordered - lowerBy ? wanted : ordered;
+/** Rounds the estimate up to the number of backend servers to order, with hysteresis against the current order. */
+export const roundNeed = (needed: number, ordered: number): number => {
+	const rounded = Math.ceil(needed);
+	return rounded > ordered || needed < ordered - hysteresisBackends ? rounded : ordered;
 };
 
 export type LoadSample = {
-	/** Prompt tokens that callers send and no cache holds. */
+	/** Prompt tokens per second that callers send and no cache holds. */
 	readonly promptTokensPerSecond: number;
-	/** Calls that run or wait at backend servers. */
+	/** Calls that are running or queued at backend servers. */
 	readonly running: number;
-	/** Backend servers that run now. */
+	/** Backend servers that are running. */
 	readonly present: number;
-	/** Prompt tokens that a backend server reads a millisecond, in the mean. */
+	/** Mean prompt processing speed of a backend server. */
 	readonly tokensPerMs: number;
-	/** Calls that a backend server runs at once. */
+	/** Calls that a backend server runs concurrently. */
 	readonly places: number;
-	/** Time in which a backend server starts, in milliseconds. */
+	/** Time that a backend server takes to start, in milliseconds. */
 	readonly bootMs: number;
 };
 
+/** Computes the number of backend servers that keeps both utilizations at their planned values. */
 const countNeeded = (sample: LoadSample): number => {
-	const forReading = sample.promptTokensPerSecond / (sample.tokensPerMs * 1000 * plannedReading);
-	const forRunning = sample.running / (sample.places * plannedPlaces);
-	return Math.max(forReading, forRunning);
+	const neededForPrompts = sample.promptTokensPerSecond / (sample.tokensPerMs * 1000 * plannedReadingUtilization);
+	const neededForCalls = sample.running / (sample.places * plannedPlaceUtilization);
+	return Math.max(neededForPrompts, neededForCalls);
 };
 
 /**
- * Follows a rise at once and a fall slowly. What runs when a daemon begins to plan was enough before,
- * so it is kept until a load is known and for seconds after.
+ * Updates the estimate with a sample. It follows a rise at once and a fall slowly. The backend servers that run when a
+ * daemon begins to plan are assumed to be sufficient, so they are kept until the load has been known for some seconds.
  */
 export const learnNeed = (need: Need | undefined, sample: LoadSample, now: number): Need => {
 	if (sample.promptTokensPerSecond === 0) {
 		return {engines: need?.engines ?? 0, assumed: Math.max(need?.assumed ?? 0, sample.present), at: now};
 	}
 
-	const wanted = countNeeded(sample);
+	const needed = countNeeded(sample);
 	if (need === undefined) {
-		return {engines: wanted, assumed: sample.present, at: now};
+		return {engines: needed, assumed: sample.present, at: now};
 	}
 
 	const elapsedMs = Math.max(0, now - need.at);
 	return {
-		engines: Math.max(wanted, need.engines * Math.exp(-elapsedMs / peakMemoryBoots / sample.bootMs)),
-		assumed: need.assumed * Math.exp(-elapsedMs / assumedMemoryMs),
+		engines: Math.max(needed, need.engines * Math.exp(-elapsedMs / peakDecayBoots / sample.bootMs)),
+		assumed: need.assumed * Math.exp(-elapsedMs / assumedDecayMs),
 		at: now,
 	};
 };
--- a/packages/core/src/engines/plan-engines.ts
+++ b/packages/core/src/engines/plan-engines.ts
@@ -1,24 +1,24 @@
 /**
- * How many backend servers of a service to order, by availability zone and kind.
+ * Plans how many backend servers of a service to order, by availability zone, reclaimable or on-demand.
  *
- * Reclaimable ones cost a fifth or less of the full price, but a zone's are taken all at once at
- * 2 s of notice, and none may be had for many seconds afterwards. So they are spread over the
- * zones, so many that waves leave what the load needs as long as that costs less than the full
- * price. What they cannot cover is ordered at the full price, and let go only when reclaimable ones
- * that run have taken its place. Zones are kept even: one that is cut off serves its own callers.
+ * Reclaimable servers cost a fifth of the full price or less, but a reclaim wave takes all of a zone at once with a notice
+ * of 2 s, and new ones are unavailable there for many seconds afterwards. The plan spreads reclaimable servers evenly over
+ * the zones and orders enough that the needed number survives the waves, as long as that costs less than the full price.
+ * The rest is ordered on-demand, and released only when reclaimable servers that run have replaced it. Zones are kept equal
+ * in size because a zone that is cut off has to serve its own callers.
  */
 import {type FleetBounds} from '../calls/serving-configuration.js';
 import {type BackendOrder} from '../duties/fold-lease.js';
 
 export type ZoneFleet = {
 	readonly availabilityZone: string;
-	/** Backend servers at the full price that run and are not leaving. */
+	/** On-demand backend servers, at the full price, that run and are not leaving. */
 	readonly full: number;
-	/** Reclaimable ones that run and are not leaving. */
+	/** Reclaimable backend servers that run and are not leaving. */
 	readonly reclaimable: number;
-	/** Reclaimable ones that were ordered and may still be starting. */
+	/** Reclaimable backend servers that were ordered and may still be starting. */
 	readonly starting: number;
-	/** Until when the cloud is believed to have no reclaimable ones here, on the steady clock. */
+	/** Until when the zone is treated as having no reclaimable capacity after a refusal, on the monotonic clock. */
 	readonly refusedUntil: number;
 };
 
@@ -26,91 +26,93 @@
 	readonly service: string;
 	readonly bounds: FleetBounds;
 	readonly zones: readonly ZoneFleet[];
-	/** Backend servers of mean speed that the load needs. */
+	/** Number of backend servers of mean speed that the load needs. */
 	readonly needed: number;
-	/** Backend servers that were enough before, without cover; none at the full price are started for them. */
+	/** Number that is assumed to be sufficient while the load is unknown. It has no reserve for waves and starts no on-demand servers. */
 	readonly assumed: number;
 	readonly now: number;
 };
 
-/** Waves that are covered by reclaimable ones at most: the first may be followed by another before any are to be had again. */
-const mostWaves = 2;
+/** Maximum number of reclaim waves to plan for: a second wave may follow before reclaimable servers are available again. */
+const maxWaves = 2;
 
-/** How many waves backend servers at the full price are started for, of those that are covered, when none but these are to be had. */
-export type CountFullPriceWaves = (waves: number, zones: number) => number;
+/** Returns for how many of the covered waves on-demand backend servers are started while no reclaimable servers are available. */
+export type CountOnDemandWaves = (waves: number, zones: number) => number;
 
-/** The second wave only where two leave less than half of the zones: elsewhere most calls are served until others run. */
-export const countFullPriceWaves: CountFullPriceWaves = (waves, zones) => zones - waves < zones / 2 ? waves : Math.min(waves, 1);
+/** Covers the second wave only if two waves leave less than half of the zones. Otherwise the remaining zones serve most calls until replacements run. */
+export const countOnDemandWaves: CountOnDemandWaves = (waves, zones) => zones - waves < zones / 2 ? waves : Math.min(waves, 1);
 
 type Counts = Map<string, number>;
 
-type Filling = {
-	/** In the order in which zones of one level are filled. */
+type FillOptions = {
+	/** Zones in the order that breaks ties. */
 	readonly zones: readonly ZoneFleet[];
 	readonly count: number;
-	/** What zones are given already. */
+	/** Counts that zones have been assigned already. */
 	readonly start?: Counts;
-	/** What zones have beside it. */
-	readonly beside: (zone: ZoneFleet) => number;
-	readonly most: (zone: ZoneFleet) => number;
+	/** Backend servers of the other kind in a zone, which count towards its level. */
+	readonly getOthers: (zone: ZoneFleet) => number;
+	/** Maximum count for a zone. */
+	readonly getMaximum: (zone: ZoneFleet) => number;
 };
 
-/** Gives `count` to the zones one by one, each time to the one that has fewest. */
-const fillLevels = ({zones, count, start, beside, most}: Filling): Counts => {
-	const given: Counts = new Map(start);
-	const getGiven = (zone: ZoneFleet): number => given.get(zone.availabilityZone) ?? 0;
+/** Assigns `count` backend servers one by one, each to the zone that has the fewest. */
+const fillEvenly = ({zones, count, start, getOthers, getMaximum}: FillOptions): Counts => {
+	const assigned: Counts = new Map(start);
+	const getAssigned = (zone: ZoneFleet): number => assigned.get(zone.availabilityZone) ?? 0;
 	for (let left = count; left > 0; left--) {
-		const open = zones.filter(zone => getGiven(zone) < most(zone));
-		const [first] = open.toSorted((left, right) => getGiven(left) + beside(left) - getGiven(right) - beside(right));
-		if (first === undefined) {
-			return given;
+		const unfilledZones = zones.filter(zone => getAssigned(zone) < getMaximum(zone));
+		const [smallest] = unfilledZones.toSorted((left, right) => getAssigned(left) + getOthers(left) - getAssigned(right) - getOthers(right));
+		if (smallest === undefined) {
+			return assigned;
 		}
 
-		given.set(first.availabilityZone, getGiven(first) + 1);
+		assigned.set(smallest.availabilityZone, getAssigned(smallest) + 1);
 	}
 
-	return given;
+	return assigned;
 };
 
-const sum = (zones: readonly ZoneFleet[], count: (zone: ZoneFleet) => number): number => zones.reduce((total, zone) => total + count(zone), 0);
+const sumOverZones = (zones: readonly ZoneFleet[], count: (zone: ZoneFleet) => number): number => zones.reduce((total, zone) => total + count(zone), 0);
 
 const getPrice = (bounds: FleetBounds, zone: ZoneFleet): number => bounds.zonePrices[zone.availabilityZone] ?? 1;
 
-type Keeping = {
-	readonly running: (zone: ZoneFleet) => number;
-	readonly beside: (zone: ZoneFleet) => number;
-	readonly most: (zone: ZoneFleet) => number;
+type KeepOptions = {
+	readonly getRunning: (zone: ZoneFleet) => number;
+	readonly getOthers: (zone: ZoneFleet) => number;
+	readonly getMaximum: (zone: ZoneFleet) => number;
 };
 
 /**
- * Gives first to zones whose backend servers run, then to those with fewest: an order that moves
- * one to another zone ends it at once, and the other starts seconds later or not at all.
+ * Assigns backend servers first to zones where they run, then to the zones with the fewest. An order that moves one to
+ * another zone would end it at once, while its replacement starts seconds later or not at all.
  */
-const keepAndFill = (zones: readonly ZoneFleet[], count: number, {running, beside, most}: Keeping): Counts => {
-	const getMost = (zone: ZoneFleet): number => Math.max(0, most(zone));
-	const kept = fillLevels({
-		zones, count, beside, most: zone => Math.min(running(zone), getMost(zone)),
+const keepRunningAndFill = (zones: readonly ZoneFleet[], count: number, {getRunning, getOthers, getMaximum}: KeepOptions): Counts => {
+	const getLimit = (zone: ZoneFleet): number => Math.max(0, getMaximum(zone));
+	const kept = fillEvenly({
+		zones, count, getOthers, getMaximum: zone => Math.min(getRunning(zone), getLimit(zone)),
 	});
-	const left = count - sum(zones, zone => kept.get(zone.availabilityZone) ?? 0);
-	return fillLevels({
-		zones, count: left, start: kept, beside, most: getMost,
+	const left = count - sumOverZones(zones, zone => kept.get(zone.availabilityZone) ?? 0);
+	return fillEvenly({
+		zones, count: left, start: kept, getOthers, getMaximum: getLimit,
 	});
 };
 
-type Share = {
+type PlanContext = {
 	readonly zones: readonly ZoneFleet[];
 	readonly needed: number;
-	/** Most that a zone may have. */
-	readonly most: number;
-	/** Waves after which what is needed must still be there. */
+	/** Maximum number of backend servers in a zone. */
+	readonly maxPerZone: number;
+	/** Number of waves that the needed backend servers must survive. */
 	readonly waves: number;
-	/** The same for those at the full price. */
-	readonly fullPriceWaves: number;
+	/** Number of waves for which on-demand backend servers are ordered. */
+	readonly onDemandWaves: number;
+	/** See `PlanInput`. */
 	readonly assumed: number;
 };
 
-/** What is left of reclaimable ones when each wave takes those of the zone that has most. */
-const sumAfterWaves = (zones: readonly ZoneFleet[], count: (zone: ZoneFleet) => number, waves: number): number => {
+/** Counts the reclaimable servers that are left when each wave takes all of the zone that has the most. */
+const countLeftAfterWaves = (zones: readonly ZoneFleet[], count: (zone: ZoneFleet) => number, waves: number): number => {
 	const counts = zones.map(zone => count(zone)).toSorted((left, right) => right - left);
 	let left = 0;
 	for (const running of counts.slice(waves)) {
@@ -120,64 +122,65 @@
 	return left;
 };
 
-/** Waves that reclaimable ones cover for less than the full price, when they are spread evenly over the zones. */
+/** Counts the waves that evenly spread reclaimable servers can cover at a cost below the full price. */
 const countCoveredWaves = (price: number, zones: number): number => {
 	let waves = 0;
-	while (waves < Math.min(mostWaves, zones - 1) && price * zones / (zones - waves - 1) < 1) {
+	while (waves < Math.min(maxWaves, zones - 1) && price * zones / (zones - waves - 1) < 1) {
 		waves++;
 	}
 
 	return waves;
 };
 
-/** Reclaimable ones that leave `needed` after so many waves. */
-const countCovered = (needed: number, waves: number, zones: number): number => Math.ceil(needed * zones / (zones - waves));
-
-/** Reclaimable ones to order. Where none are to be had, those that run are kept: a smaller order would end them. */
-const planReclaimable = ({zones, needed, assumed, most, waves}: Share, now: number): Counts => {
-	const open = zones.filter(zone => now >= zone.refusedUntil);
-	const closed = zones.filter(zone => now < zone.refusedUntil);
-	const kept = new Map(closed.map(zone => [zone.availabilityZone, Math.min(zone.reclaimable, most)]));
-	const total = Math.max(countCovered(needed, waves, zones.length), assumed);
-	const wanted = total - sum(closed, zone => kept.get(zone.availabilityZone) ?? 0);
-	const asked = keepAndFill(open, wanted, {running: zone => zone.reclaimable + zone.starting, beside: () => 0, most: () => most});
-	return new Map([...kept, ...asked]);
+/** Counts the reclaimable servers to order so that `needed` are left after the given waves. */
+const countForWaves = (needed: number, waves: number, zones: number): number => Math.ceil(needed * zones / (zones - waves));
+
+/** Plans the reclaimable servers. Zones without available capacity keep those that run, because a smaller order would end them. */
+const planReclaimable = ({zones, needed, assumed, maxPerZone, waves}: PlanContext, now: number): Counts => {
+	const availableZones = zones.filter(zone => now >= zone.refusedUntil);
+	const refusedZones = zones.filter(zone => now < zone.refusedUntil);
+	const kept = new Map(refusedZones.map(zone => [zone.availabilityZone, Math.min(zone.reclaimable, maxPerZone)]));
+	const total = Math.max(countForWaves(needed, waves, zones.length), assumed);
+	const remaining = total - sumOverZones(refusedZones, zone => kept.get(zone.availabilityZone) ?? 0);
+	const requested = keepRunningAndFill(availableZones, remaining, {getRunning: zone => zone.reclaimable + zone.starting, getOthers: () => 0, getMaximum: () => maxPerZone});
+	return new Map([...kept, ...requested]);
 };
 
 /**
- * Full-price ones to order: what reclaimable ones that run or start would leave open after the next
- * waves. Those that run are let go only when reclaimable ones run in their place: a new try for
- * reclaimable ones may be refused.
+ * Plans the on-demand servers: the number that is missing after the next waves have taken reclaimable servers that run or
+ * start. On-demand servers that run are released only when reclaimable servers run in their place, because another order
+ * for reclaimable servers may be refused.
  */
-const planFull = ({zones, needed, assumed, most, fullPriceWaves}: Share, reclaimable: Counts): Counts => {
+const planOnDemand = ({zones, needed, assumed, maxPerZone, onDemandWaves}: PlanContext, reclaimable: Counts): Counts => {
 	const getPlanned = (zone: ZoneFleet): number => reclaimable.get(zone.availabilityZone) ?? 0;
-	const getComing = (zone: ZoneFleet): number => Math.min(getPlanned(zone), zone.reclaimable + zone.starting);
+	const getRunningOrStarting = (zone: ZoneFleet): number => Math.min(getPlanned(zone), zone.reclaimable + zone.starting);
 	const getRunning = (zone: ZoneFleet): number => Math.min(getPlanned(zone), zone.reclaimable);
-	const getFull = (zone: ZoneFleet): number => zone.full;
-	const worthKeeping = Math.max(needed - sumAfterWaves(zones, getRunning, fullPriceWaves), assumed - sum(zones, getComing));
-	const kept = Math.min(sum(zones, getFull), worthKeeping);
-	const missing = needed - sumAfterWaves(zones, getComing, fullPriceWaves);
-	return keepAndFill(zones, Math.max(kept, missing), {running: getFull, beside: zone => zone.reclaimable, most: zone => most - zone.reclaimable});
+	const getOnDemand = (zone: ZoneFleet): number => zone.full;
+	const neededNow = Math.max(needed - countLeftAfterWaves(zones, getRunning, onDemandWaves), assumed - sumOverZones(zones, getRunningOrStarting));
+	const kept = Math.min(sumOverZones(zones, getOnDemand), neededNow);
+	const missing = needed - countLeftAfterWaves(zones, getRunningOrStarting, onDemandWaves);
+	return keepRunningAndFill(zones, Math.max(kept, missing), {getRunning: getOnDemand, getOthers: zone => zone.reclaimable, getMaximum: zone => maxPerZone - zone.reclaimable});
 };
 
-export const planEngines = (input: PlanInput, countWaves: CountFullPriceWaves = countFullPriceWaves): BackendOrder[] => {
+/** Plans the orders of a service, at most `bounds.most` per zone. Cheaper zones are preferred where zones are otherwise equal. */
+export const planEngines = (input: PlanInput, countWaves: CountOnDemandWaves = countOnDemandWaves): BackendOrder[] => {
 	const {bounds, service, now} = input;
 	const zones = input.zones.toSorted((left, right) => getPrice(bounds, left) - getPrice(bounds, right));
 	const waves = countCoveredWaves(bounds.reclaimablePrice ?? 1, zones.length);
-	const share: Share = {
-		zones, needed: input.needed, assumed: Math.max(1, input.assumed), most: bounds.most, waves, fullPriceWaves: countWaves(waves, zones.length),
+	const context: PlanContext = {
+		zones, needed: input.needed, assumed: Math.max(1, input.assumed), maxPerZone: bounds.most, waves, onDemandWaves: countWaves(waves, zones.length),
 	};
 	const isOffered = bounds.reclaimablePrice !== undefined;
-	const reclaimable: Counts = isOffered ? planReclaimable(share, now) : new Map<string, number>();
-	const atFullPrice = planFull(share, reclaimable);
+	const reclaimable: Counts = isOffered ? planReclaimable(context, now) : new Map<string, number>();
+	const onDemand = planOnDemand(context, reclaimable);
 	return zones.flatMap((zone): BackendOrder[] => {
 		const {availabilityZone} = zone;
-		const cheap = reclaimable.get(availabilityZone) ?? 0;
-		const full = Math.min(bounds.most, Math.max(atFullPrice.get(availabilityZone) ?? 0, bounds.least - cheap));
+		const reclaimableCount = reclaimable.get(availabilityZone) ?? 0;
+		const onDemandCount = Math.min(bounds.most, Math.max(onDemand.get(availabilityZone) ?? 0, bounds.least - reclaimableCount));
 		const order = {service, availabilityZone};
 		return [
-			{...order, isReclaimable: false, count: full},
-			...(isOffered ? [{...order, isReclaimable: true, count: Math.min(cheap, bounds.most - full)}] : []),
+			{...order, isReclaimable: false, count: onDemandCount},
+			...(isOffered ? [{...order, isReclaimable: true, count: Math.min(reclaimableCount, bounds.most - onDemandCount)}] : []),
 		];
 	});
 };
--- a/packages/core/src/engines/work-rate.ts
+++ b/packages/core/src/engines/work-rate.ts
@@ -1,30 +1,32 @@
-/** Prompt tokens that had to be read a second, smoothed. */
+/** Smoothed rate of prompt tokens that backend servers had to process. */
 
 export type WorkRate = {
-	/** Tokens a second, too low until the memory is filled. */
+	/** Moving average in tokens per second, too low until several time constants have passed since the first tokens. */
 	readonly perSecond: number;
+	/** Time of the last update, in milliseconds. */
 	readonly at: number;
-	/** When the first tokens were noted. */
+	/** Time of the first tokens, in milliseconds. */
 	readonly since: number;
 };
 
-/** Time in which the memory falls to a third, in milliseconds; long enough for the clumps of callers, short for a burst. */
-const memoryMs = 3000;
+/** Time constant of the moving average: long enough to smooth callers that arrive in groups, short enough to follow a burst. */
+const timeConstantMs = 3000;
 
-/** Shortest time over which the first tokens are taken to have come, in milliseconds. */
-const leastSpanMs = 500;
+/** Minimum time over which the first tokens are averaged. */
+const minSpanMs = 500;
 
-/** Corrected for the time before the first tokens, in which none could come. */
+/** Returns the rate at `now`, corrected for the short time since the first tokens. */
 export const readWorkRate = (rate: WorkRate, now: number): number => {
-	const filled = 1 - Math.exp(-Math.max(leastSpanMs, now - rate.since) / memoryMs);
-	return rate.perSecond * Math.exp(-Math.max(0, now - rate.at) / memoryMs) / filled;
+	const warmUpFactor = 1 - Math.exp(-Math.max(minSpanMs, now - rate.since) / timeConstantMs);
+	return rate.perSecond * Math.exp(-Math.max(0, now - rate.at) / timeConstantMs) / warmUpFactor;
 };
 
+/** Adds prompt tokens to the rate. */
 export const noteWork = (rate: WorkRate | undefined, tokens: number, now: number): WorkRate => {
 	if (rate === undefined) {
-		return {perSecond: tokens * 1000 / memoryMs, at: now, since: now};
+		return {perSecond: tokens * 1000 / timeConstantMs, at: now, since: now};
 	}
 
-	const left = rate.perSecond * Math.exp(-Math.max(0, now - rate.at) / memoryMs);
-	return {...rate, perSecond: left + (tokens * 1000 / memoryMs), at: now};
+	const decayed = rate.perSecond * Math.exp(-Math.max(0, now - rate.at) / timeConstantMs);
+	return {...rate, perSecond: decayed + (tokens * 1000 / timeConstantMs), at: now};
 };
