--- a/packages/core/src/directory/digest-directory.test.ts
+++ b/packages/core/src/directory/digest-directory.test.ts
@@ -12,21 +12,21 @@
 	next, backends: new Map(entries.map(known => [known.id, {entry: known, offset: next - 1, missingUntil: undefined}])),
 });
 
-test('guards against the whole list that is sent at each question because entries were only written anew', () => {
-	const later = makeDirectory(90, {...entry, sequence: 70}, {...entry, id: 'engine-0', sequence: 70});
-	assert.equal(digestDirectory(makeDirectory(9, entry, {...entry, id: 'engine-0'})), digestDirectory(later));
+test('the digest stays equal when entries are only rewritten, so that the whole list is not sent again', () => {
+	const rewritten = makeDirectory(90, {...entry, sequence: 70}, {...entry, id: 'engine-0', sequence: 70});
+	assert.equal(digestDirectory(makeDirectory(9, entry, {...entry, id: 'engine-0'})), digestDirectory(rewritten));
 });
 
-for (const [what, changes] of Object.entries({
-	'one that leaves': {isLeaving: true},
-	'one that started anew': {startedAt: 2000},
-	'one at another address': {address: '10.0.0.2:8000'},
+for (const [description, changes] of Object.entries({
+	'is leaving': {isLeaving: true},
+	'has restarted': {startedAt: 2000},
+	'has another address': {address: '10.0.0.2:8000'},
 })) {
-	test(`guards against ${what} that the daemons asking never learn of`, () => {
+	test(`the digest changes when a backend server ${description}`, () => {
 		assert.notEqual(digestDirectory(makeDirectory(9, entry)), digestDirectory(makeDirectory(9, {...entry, ...changes})));
 	});
 }
 
-test('guards against one that is gone and stays known', () => {
+test('the digest changes when a backend server is removed', () => {
 	assert.notEqual(digestDirectory(makeDirectory(9, entry)), digestDirectory(makeDirectory(9)));
 });
--- a/packages/core/src/directory/digest-directory.ts
+++ b/packages/core/src/directory/digest-directory.ts
@@ -1,14 +1,14 @@
-/** Tells whether two daemons know the same backend servers without sending the list. */
+/** Digest with which two daemons find out whether they know the same backend servers without sending the list. */
 import {hashTextWide} from '../routing/rank-by-rendezvous.js';
 import {type BackendEntry, type Directory} from './types.js';
 
-/** What calls and orders depend on; entries are written anew each second with nothing else in them changed. */
-const describeEntry = (entry: BackendEntry): string => [
+/** Serializes the fields that calls and orders depend on. The other fields change each second, when an entry is rewritten as a heartbeat. */
+const serializeEntry = (entry: BackendEntry): string => [
 	entry.id, entry.startedAt, entry.address, entry.service, entry.availabilityZone, entry.places, entry.isLeaving, entry.isReclaimable,
 ].join(' ');
 
-/** Equal for directories that name the same backend servers in the same state, whatever the offsets of their records. */
+/** Computes a digest that is equal for directories with the same backend servers in the same state, independent of record offsets. */
 export const digestDirectory = ({backends}: Directory): string => {
-	const lines = [...backends.values()].map(({entry}) => describeEntry(entry)).toSorted();
+	const lines = [...backends.values()].map(({entry}) => serializeEntry(entry)).toSorted();
 	return hashTextWide(lines.join('\n')).toString(16);
 };
--- a/packages/core/src/directory/fold-directory.ts
+++ b/packages/core/src/directory/fold-directory.ts
@@ -1,25 +1,25 @@
-/** Folds the records of backend servers in their order. */
+/** Applies the records of the directory topic, in offset order, to the known backend servers. */
 import {type BackendEntry, type Directory, type KnownBackend} from './types.js';
 
 export type DirectoryRecord = {
 	readonly offset: number;
 	readonly id: string;
-	/** Undefined: the entry was removed. `unreadable`: it was overwritten by bytes that name no backend server. */
+	/** Undefined if the entry was removed, `unreadable` if it was overwritten by data that describes no backend server. */
 	readonly entry: BackendEntry | 'unreadable' | undefined;
 };
 
-export type FoldContext = {
-	/** Steady clock in milliseconds. */
+export type ApplyContext = {
+	/** Monotonic clock in milliseconds. */
 	readonly now: number;
 	/**
-	 * Entries may have lapsed because the store was away, not because their backend servers
-	 * ended. A removal seen until this moment keeps its backend server in use until then;
-	 * a backend server that lives has written its entry again by that time.
+	 * Until this time, on the same clock, entries may have expired because the store was down, not because their backend
+	 * servers ended. A backend server whose entry is removed before then stays in use until then. If it is alive, it has
+	 * written its entry again by that time.
 	 */
 	readonly lapsesUntil: number;
 };
 
-/** Whether an entry was written by an earlier incarnation, or earlier in the same one, than the one that is known. */
+/** Whether an entry was written by an earlier incarnation than the known one, or earlier in the same incarnation. */
 const isOutdated = (entry: BackendEntry, known: KnownBackend | undefined): boolean => {
 	if (known === undefined || entry.startedAt === undefined || known.entry.startedAt === undefined) {
 		return false;
@@ -29,7 +29,7 @@
 		|| (entry.startedAt === known.entry.startedAt && entry.sequence < known.entry.sequence);
 };
 
-const foldRemoval = (backends: Map<string, KnownBackend>, record: DirectoryRecord, context: FoldContext): void => {
+const applyRemoval = (backends: Map<string, KnownBackend>, record: DirectoryRecord, context: ApplyContext): void => {
 	const known = backends.get(record.id);
 	if (known === undefined) {
 		return;
@@ -43,7 +43,8 @@
 	backends.delete(record.id);
 };
 
-export const foldDirectory = (directory: Directory, records: readonly DirectoryRecord[], context: FoldContext): Directory => {
+/** Applies records to the directory. Records that were applied before and outdated entries change nothing. */
+export const foldDirectory = (directory: Directory, records: readonly DirectoryRecord[], context: ApplyContext): Directory => {
 	const backends = new Map(directory.backends);
 	let {next} = directory;
 	for (const record of records) {
@@ -53,7 +54,7 @@
 
 		next = record.offset + 1;
 		if (record.entry === undefined) {
-			foldRemoval(backends, record, context);
+			applyRemoval(backends, record, context);
 			continue;
 		}
 
@@ -67,31 +68,31 @@
 	return {backends, next};
 };
 
-/** Replaces the directory by a whole listing; entries that are not listed count as removed. */
-export const takeListing = (directory: Directory, records: readonly DirectoryRecord[], end: number, context: FoldContext): Directory => {
+/** Replaces the directory with a complete listing. Entries that are not listed count as removed. */
+export const takeListing = (directory: Directory, records: readonly DirectoryRecord[], endOffset: number, context: ApplyContext): Directory => {
 	const listed = new Set(records.map(record => record.id));
 	const missing = [...directory.backends.keys()]
 		.filter(id => !listed.has(id))
 		.map(id => ({offset: directory.next, id, entry: undefined}));
-	const kept = new Map(directory.backends);
+	const remaining = new Map(directory.backends);
 	for (const record of missing) {
-		foldRemoval(kept, record, context);
+		applyRemoval(remaining, record, context);
 	}
 
-	// A listing names each entry at the offset of its newest record, in no order.
-	const folded = foldDirectory({backends: kept, next: 0}, records.toSorted((left, right) => left.offset - right.offset), context);
-	return {backends: folded.backends, next: Math.max(end, directory.next)};
+	// A listing holds each entry with the offset of its newest record, in no particular order.
+	const applied = foldDirectory({backends: remaining, next: 0}, records.toSorted((left, right) => left.offset - right.offset), context);
+	return {backends: applied.backends, next: Math.max(endOffset, directory.next)};
 };
 
-/** Drops entries that were missing for too long. */
+/** Drops entries that are still missing at the end of their grace period. */
 export const dropMissing = (directory: Directory, now: number): Directory => {
-	const overdue = [...directory.backends].filter(([, known]) => known.missingUntil !== undefined && known.missingUntil <= now);
-	if (overdue.length === 0) {
+	const expired = [...directory.backends].filter(([, known]) => known.missingUntil !== undefined && known.missingUntil <= now);
+	if (expired.length === 0) {
 		return directory;
 	}
 
 	const backends = new Map(directory.backends);
-	for (const [id] of overdue) {
+	for (const [id] of expired) {
 		backends.delete(id);
 	}
 
--- a/packages/core/src/directory/take-from-peer.test.ts
+++ b/packages/core/src/directory/take-from-peer.test.ts
@@ -14,15 +14,15 @@
 
 const listIds = (directory: Directory): string[] => [...directory.backends.keys()];
 
-test('guards against a backend server that has left and is taken back from a daemon that was cut off meanwhile', () => {
+test('a backend server that has left is not restored from a peer that was disconnected in the meantime', () => {
 	const peer = makeDirectory(20, {left: 2700, stays: undefined});
-	const taken = takePeerDirectory(makeDirectory(12, {stays: undefined}), {backends: toPeerBackends(peer, 1000), next: 20}, 5000);
-	assert.deepEqual(listIds(taken), ['stays']);
+	const adopted = takePeerDirectory(makeDirectory(12, {stays: undefined}), {backends: toPeerBackends(peer, 1000), next: 20}, 5000);
+	assert.deepEqual(listIds(adopted), ['stays']);
 });
 
-test('guards against backend servers that are dropped because their entries lapsed while the store was away', () => {
-	const peer = makeDirectory(20, {lapsed: 2700});
-	const taken = takePeerDirectory(makeDirectory(12, {lapsed: undefined}), {backends: toPeerBackends(peer, 1000), next: 20}, 5000);
-	assert.equal(taken.backends.get('lapsed')?.missingUntil, 6700);
-	assert.equal(taken.next, 20);
+test('a backend server whose entry expired while the store was down keeps the grace period of the peer', () => {
+	const peer = makeDirectory(20, {expired: 2700});
+	const adopted = takePeerDirectory(makeDirectory(12, {expired: undefined}), {backends: toPeerBackends(peer, 1000), next: 20}, 5000);
+	assert.equal(adopted.backends.get('expired')?.missingUntil, 6700);
+	assert.equal(adopted.next, 20);
 });
--- a/packages/core/src/directory/take-from-peer.ts
+++ b/packages/core/src/directory/take-from-peer.ts
@@ -1,11 +1,11 @@
-/** Takes the backend servers that another daemon read from the store. */
+/** Adopts the backend servers that another daemon has read from the store. */
 import {type BackendEntry, type Directory, type KnownBackend} from './types.js';
 
-/** One of them, as daemons send it to each other. */
+/** A backend server in the form in which daemons send it to each other. */
 export type PeerBackend = {
 	readonly entry: BackendEntry;
 	readonly offset: number;
-	/** Milliseconds for which the peer still keeps an entry that is missing and may only have lapsed. */
+	/** Remaining grace period of an entry that is missing and may only have expired, in milliseconds. */
 	readonly missingForMs: number | undefined;
 };
 
@@ -14,13 +14,15 @@
 	readonly next: number;
 };
 
+/** Lists the backend servers of a directory in the form that is sent to peers. */
 export const toPeerBackends = ({backends}: Directory, now: number): PeerBackend[] => [...backends.values()].map(({entry, offset, missingUntil}) => ({
 	entry, offset, missingForMs: missingUntil === undefined ? undefined : missingUntil - now,
 }));
 
 /**
- * Replaces the directory by a peer's. What the peer only keeps because it may have lapsed is kept here too, but
- * not taken back: the peer may have been cut off while this daemon saw it removed, and it would get calls after it left.
+ * Replaces the directory with a peer's. A missing entry in its grace period is kept if this daemon knows it too, but it
+ * isn't added: the peer may have been disconnected while this daemon saw the entry removed, and the backend server
+ * would get calls after it has left.
  */
 export const takePeerDirectory = (own: Directory, peer: PeerDirectory, now: number): Directory => {
 	const backends = new Map<string, KnownBackend>();
--- a/packages/core/src/directory/types.ts
+++ b/packages/core/src/directory/types.ts
@@ -1,34 +1,35 @@
-/** Backend servers as their own entries in the platform's store describe them. */
+/** Types of the directory of backend servers, which register themselves with entries in the platform's store. */
 
 export type BackendEntry = {
-	/** Name of one incarnation's holder; with `startedAt` it names the incarnation. */
+	/** Id of the backend server. Together with `startedAt` it identifies the incarnation. */
 	readonly id: string;
 	readonly service: string;
 	/** IP address and port. */
 	readonly address: string;
 	readonly availabilityZone: string;
+	/** Number of calls that the backend server runs concurrently. */
 	readonly places: number;
 	readonly isLeaving: boolean;
-	/** Milliseconds until the backend server ends, where it says so. */
+	/** Milliseconds until the backend server ends, if it has announced it. */
 	readonly leavesInMs: number | undefined;
 	readonly isReclaimable: boolean;
-	/** Milliseconds since the epoch; undefined where the entry does not say. */
+	/** Milliseconds since the epoch, or undefined if the entry doesn't contain it. */
 	readonly startedAt: number | undefined;
-	/** Number of the entry within its incarnation. */
+	/** Sequence number of the entry within its incarnation. */
 	readonly sequence: number;
 };
 
 export type KnownBackend = {
 	readonly entry: BackendEntry;
-	/** Offset of the record that says so. */
+	/** Offset of the record that holds the entry. */
 	readonly offset: number;
-	/** Set while the entry is missing though it may only have lapsed: when it counts as gone, on the steady clock. */
+	/** End of the grace period of a missing entry that may only have expired, on the monotonic clock. Undefined if the entry isn't missing. */
 	readonly missingUntil: number | undefined;
 };
 
 export type Directory = {
 	readonly backends: ReadonlyMap<string, KnownBackend>;
-	/** First offset that has not been folded. */
+	/** Offset of the next record to apply. */
 	readonly next: number;
 };
 
