--- a/packages/core/src/claims/claims.test.ts
+++ b/packages/core/src/claims/claims.test.ts
@@ -21,7 +21,7 @@
 
 const makeOutcome = (kind: 'answered_not_kept' | 'not_sent' | 'unknown', claim: Claim): Outcome => ({kind, claimId: claim.id, key: makeKeyName(claim)});
 
-const foldAll = (records: readonly LogRecord[]): ClaimState => {
+const applyAll = (records: readonly LogRecord[]): ClaimState => {
 	let state = makeClaimState();
 	for (const record of records) {
 		state = foldClaimRecord(state, record);
@@ -43,12 +43,12 @@
 	readonly records: readonly LogRecord[];
 	readonly now?: number;
 	readonly gone?: readonly string[];
-	/** What the first claim's owner and a second caller with the key are told. */
+	/** Decisions for the first claim's owner and for a second caller with the same key. */
 	readonly first: ClaimVerdict['kind'];
 	readonly second: ClaimVerdict['kind'];
 };
 
-/** The steps between accepting a call and answering it, and what each caller gets when the owner dies there. */
+/** The steps between accepting a call and answering it, and the decision for each caller when the owner ends at that step. */
 const rows: readonly Row[] = [
 	{
 		name: 'before the claim is in the log', records: [], first: 'absent', second: 'absent',
@@ -57,22 +57,22 @@
 		name: 'claimed, owner alive', records: [makeRecord(0, [first, second])], first: 'won', second: 'running',
 	},
 	{
-		name: 'claimed, owner gone before or after sending', records: [makeRecord(0, [first, second])], gone: ['owner-1'], first: 'won', second: 'unknown',
+		name: 'claimed, owner ended before or after sending', records: [makeRecord(0, [first, second])], gone: ['owner-1'], first: 'won', second: 'unknown',
 	},
 	{
 		name: 'claimed, owner silent past its deadlines', records: [makeRecord(0, [first, second])], now: 20_000, first: 'won', second: 'unknown',
 	},
 	{
-		name: 'proved unsent, then claimed again', records: [makeRecord(0, [first]), makeRecord(1, [], [makeOutcome('not_sent', first)]), makeRecord(2, [second])], first: 'running', second: 'won',
+		name: 'declared unsent, then claimed again', records: [makeRecord(0, [first]), makeRecord(1, [], [makeOutcome('not_sent', first)]), makeRecord(2, [second])], first: 'running', second: 'won',
 	},
 	{
-		name: 'proved unsent and claimed again in one append', records: [makeRecord(0, [first]), makeRecord(1, [second], [makeOutcome('not_sent', first)])], first: 'running', second: 'won',
+		name: 'declared unsent and claimed again in one append', records: [makeRecord(0, [first]), makeRecord(1, [second], [makeOutcome('not_sent', first)])], first: 'running', second: 'won',
 	},
 	{
 		name: 'answered', records: [makeRecord(0, [first]), makeRecord(1, [], [makeOutcome('answered_not_kept', first)])], gone: ['owner-1'], first: 'answered_not_kept', second: 'answered_not_kept',
 	},
 	{
-		name: 'sent, and no answer was heard', records: [makeRecord(0, [first]), makeRecord(1, [], [makeOutcome('unknown', first)])], first: 'unknown', second: 'unknown',
+		name: 'sent, and no answer was received', records: [makeRecord(0, [first]), makeRecord(1, [], [makeOutcome('unknown', first)])], first: 'unknown', second: 'unknown',
 	},
 	{
 		name: 'an outcome of a claim that did not win', records: [makeRecord(0, [first, second]), makeRecord(1, [], [makeOutcome('not_sent', second)])], first: 'won', second: 'running',
@@ -81,16 +81,16 @@
 		name: 'an outcome that contradicts the first', records: [makeRecord(0, [first]), makeRecord(1, [], [makeOutcome('unknown', first)]), makeRecord(2, [second], [makeOutcome('not_sent', first)])], first: 'unknown', second: 'unknown',
 	},
 	{
-		name: 'given up before its append took effect', records: [makeRecord(0, [], [makeOutcome('not_sent', first)]), makeRecord(1, [first]), makeRecord(2, [second])], first: 'running', second: 'won',
+		name: 'declared unsent before its append took effect', records: [makeRecord(0, [], [makeOutcome('not_sent', first)]), makeRecord(1, [first]), makeRecord(2, [second])], first: 'running', second: 'won',
 	},
 	{
-		name: 'the claim stands twice, as after a lost reply', records: [makeRecord(0, [first]), makeRecord(1, [first]), makeRecord(2, [second])], first: 'won', second: 'running',
+		name: 'the claim was appended twice, as after a lost reply', records: [makeRecord(0, [first]), makeRecord(1, [first]), makeRecord(2, [second])], first: 'won', second: 'running',
 	},
 ];
 
 for (const row of rows) {
 	test(`a claim and a second call with its key: ${row.name}`, () => {
-		const state = foldAll(row.records);
+		const state = applyAll(row.records);
 		assert.deepEqual(
 			{first: judge(state, first, row.now, row.gone), second: judge(state, second, row.now, row.gone)},
 			{first: row.first, second: row.second},
@@ -98,12 +98,12 @@
 	});
 }
 
-test('a different body under a used key is told apart whatever became of the first', () => {
-	const state = foldAll([makeRecord(0, [first])]);
+test('a different body with a used key is detected before the first call has an outcome', () => {
+	const state = applyAll([makeRecord(0, [first])]);
 	assert.equal(judge(state, makeClaim('3', 'k', 'other')), 'reused');
 });
 
-test('keys of different accounts and services never meet', () => {
+test('equal keys of different client accounts or services have different names', () => {
 	const names = fc.tuple(fc.string(), fc.string(), fc.string());
 	fc.assert(fc.property(names, names, (left, right) => {
 		const [one, other] = [left, right].map(([account, service, key]) => makeKeyName({account, service, key}));
@@ -111,27 +111,26 @@
 	}), {seed: 7});
 });
 
-test('records of the key memory that were trimmed unread make every unknown key unsafe for a while', () => {
-	// The log forgot earlier than promised and a new instance starts. A key that it has never
-	// seen may have been used; running it could be the second time.
+test('unknown keys are unsafe for the retention period after records were trimmed unread', () => {
+	// The log trims records earlier than configured, and a new daemon starts. A key that it doesn't know
+	// may have been used, so running the call could execute it a second time.
 	const state = noteClaimTrim(makeClaimState(), 5 as LogOffset, 1000, 500);
 	assert.equal(judge(state, first, 1400), 'unsafe');
 	assert.equal(judge(state, first, 1500), 'absent');
-	const seen = noteClaimTrim(foldAll([makeRecord(0, [first])]), 1 as LogOffset, 1000, 500);
-	assert.equal(judge(seen, second, 1400), 'running');
+	const withKnownKey = noteClaimTrim(applyAll([makeRecord(0, [first])]), 1 as LogOffset, 1000, 500);
+	assert.equal(judge(withKnownKey, second, 1400), 'running');
 });
 
-test('keys are forgotten after the key memory and not before', () => {
-	const state = foldAll([makeRecord(0, [first]), makeRecord(1, [makeClaim('3', 'other')])]);
+test('keys are deleted after the retention period and not before', () => {
+	const state = applyAll([makeRecord(0, [first]), makeRecord(1, [makeClaim('3', 'other')])]);
 	forgetOldKeys(state, 500, 500);
 	assert.equal(state.keys.size, 1);
 	assert.equal(judge(state, second, 500), 'absent');
 });
 
-test('every reader of any log agrees, and at most one claim of a key may ever be sent', () => {
-	// Daemons claim, give up, answer and repeat in any order, and writers append some claims
-	// twice. A claim may be sent while it is the winner and was not declared unsent; two such
-	// claims for one key would be two reservations.
+test('for any log at most one claim of a key may be sent', () => {
+	// Claims, outcomes and repeated appends occur in any order. A claim may be sent while it is the
+	// winner and was not declared unsent. Two such claims for one key could execute the call twice.
 	const step = fc.record({id: fc.nat(5), kind: fc.constantFrom('claim', 'not_sent', 'unknown', 'answered_not_kept')});
 	fc.assert(fc.property(fc.array(step, {maxLength: 25}), steps => {
 		const claims = Array.from({length: 6}, (_value, index) => makeClaim(String(index)));
@@ -141,7 +140,7 @@
 		for (const [offset, {id, kind}] of steps.entries()) {
 			const claim = claims[id]!;
 			if (kind === 'not_sent') {
-				// An owner only says so while it holds back its call for good.
+				// An owner declares a claim unsent only if it will never send the call.
 				declaredUnsent.add(claim.id);
 			}
 
@@ -157,7 +156,7 @@
 	}), {seed: 7, numRuns: 1000});
 });
 
-test('a key has one stream and members agree on its writer in whatever order they are seen', () => {
+test('a key maps to one stream, and its writer does not depend on the order of the members', () => {
 	fc.assert(fc.property(fc.string(), fc.uniqueArray(fc.string({minLength: 1}), {minLength: 1, maxLength: 10}), (key, members) => {
 		const stream = pickClaimStream(key);
 		assert.match(stream, /^claims-\d$/v);
--- a/packages/core/src/claims/fold-claims.ts
+++ b/packages/core/src/claims/fold-claims.ts
@@ -1,6 +1,6 @@
 /**
- * The fold of one claim stream. The first claim for a key in log order wins; a
- * later one wins only after the log has said that the first was not sent.
+ * State of one claim stream. A claim reserves an idempotency key for one call. The first claim for a key in log order
+ * wins. A later one wins only after a record has stated that the call of the first was not sent.
  */
 import {claimStreamRecordSchema, type Claim, type Outcome} from '@shallotpass/common/log-records.js';
 import {type LogRecord} from '@shallotpass/common/log-service.js';
@@ -15,83 +15,83 @@
 	unsafeUntil: 0,
 });
 
-/** Keys of different accounts and services never meet. */
+/** Makes the full name of a key, which is unique across client accounts and services. */
 export const makeKeyName = (claim: Pick<Claim, 'account' | 'service' | 'key'>): string =>
 	JSON.stringify([claim.account, claim.service, claim.key]);
 
-const takeClaim = (state: ClaimState, claim: Claim, source: LogRecord): void => {
+const applyClaim = (state: ClaimState, claim: Claim, logRecord: LogRecord): void => {
 	if (state.voided.has(claim.id)) {
 		return;
 	}
 
 	const name = makeKeyName(claim);
-	const known = state.keys.get(name);
-	if (known !== undefined && known.outcome?.kind !== 'not_sent') {
+	const existing = state.keys.get(name);
+	if (existing !== undefined && existing.outcome?.kind !== 'not_sent') {
 		return;
 	}
 
-	if (known === undefined) {
+	if (existing === undefined) {
 		state.order.push(name);
 	}
 
-	state.keys.set(name, {claim, offset: source.offset, appendedAt: source.appendedAt});
+	state.keys.set(name, {claim, offset: logRecord.offset, appendedAt: logRecord.appendedAt});
 };
 
-const takeOutcome = (state: ClaimState, outcome: Outcome, source: LogRecord): void => {
-	const known = state.keys.get(outcome.key);
-	if (outcome.kind === 'not_sent' && known?.claim.id !== outcome.claimId) {
-		state.voided.set(outcome.claimId, source.appendedAt);
+const applyOutcome = (state: ClaimState, outcome: Outcome, logRecord: LogRecord): void => {
+	const existing = state.keys.get(outcome.key);
+	if (outcome.kind === 'not_sent' && existing?.claim.id !== outcome.claimId) {
+		state.voided.set(outcome.claimId, logRecord.appendedAt);
 		return;
 	}
 
-	// An outcome of a claim that did not win, or a second one, tells nothing.
-	if (known?.claim.id !== outcome.claimId || known.outcome !== undefined) {
+	// Ignores outcomes of claims that did not win, and repeated outcomes.
+	if (existing?.claim.id !== outcome.claimId || existing.outcome !== undefined) {
 		return;
 	}
 
-	state.keys.set(outcome.key, {...known, outcome: {kind: outcome.kind, offset: source.offset}});
+	state.keys.set(outcome.key, {...existing, outcome: {kind: outcome.kind, offset: logRecord.offset}});
 };
 
 /**
- * Takes the next record. The state is changed in place: it holds as many keys as
- * were used during the key memory, too many to copy for each record.
+ * Applies the next record. The state is mutated: it holds all keys of the retention period, too many to copy for
+ * each record.
  */
-export const foldClaimRecord = (state: ClaimState, source: LogRecord): ClaimState => {
-	if (source.offset < state.foldedTo) {
+export const foldClaimRecord = (state: ClaimState, logRecord: LogRecord): ClaimState => {
+	if (logRecord.offset < state.foldedTo) {
 		return state;
 	}
 
-	const parsed = claimStreamRecordSchema.safeParse(source.record);
+	const parsed = claimStreamRecordSchema.safeParse(logRecord.record);
 	for (const outcome of parsed.data?.outcomes ?? []) {
-		takeOutcome(state, outcome, source);
+		applyOutcome(state, outcome, logRecord);
 	}
 
 	for (const claim of parsed.data?.claims ?? []) {
-		takeClaim(state, claim, source);
+		applyClaim(state, claim, logRecord);
 	}
 
-	return {...state, foldedTo: (source.offset + 1) as LogOffset};
+	return {...state, foldedTo: (logRecord.offset + 1) as LogOffset};
 };
 
 /**
- * Records before `earliest` were trimmed unread. The age of what is gone is not
- * known, only that it is older than the oldest record that is left; so keys are
- * unsafe until that record itself is older than the key memory.
+ * Skips records before `earliest`, which were trimmed before they were read. Their age is unknown, except that they
+ * are older than the oldest record that is left. Unknown keys are therefore unsafe until that record is older than
+ * the retention period of keys.
  */
-export const noteClaimTrim = (state: ClaimState, earliest: LogOffset, oldestLeftAt: number, keyMemoryMs: number): ClaimState => {
+export const noteClaimTrim = (state: ClaimState, earliest: LogOffset, oldestLeftAt: number, keyRetentionMs: number): ClaimState => {
 	if (earliest <= state.foldedTo) {
 		return state;
 	}
 
-	return {...state, foldedTo: earliest, unsafeUntil: Math.max(state.unsafeUntil, oldestLeftAt + keyMemoryMs)};
+	return {...state, foldedTo: earliest, unsafeUntil: Math.max(state.unsafeUntil, oldestLeftAt + keyRetentionMs)};
 };
 
-/** Forgets keys that are older than the key memory. */
-export const forgetOldKeys = (state: ClaimState, now: number, keyMemoryMs: number): void => {
+/** Deletes keys and voided claims that are older than the retention period. */
+export const forgetOldKeys = (state: ClaimState, now: number, keyRetentionMs: number): void => {
 	let count = 0;
 	for (const name of state.order) {
-		const known = state.keys.get(name);
-		if (known !== undefined && now - known.appendedAt < keyMemoryMs) {
+		const existing = state.keys.get(name);
+		if (existing !== undefined && now - existing.appendedAt < keyRetentionMs) {
 			break;
 		}
 
@@ -101,7 +101,7 @@
 
 	state.order.splice(0, count);
 	for (const [claimId, voidedAt] of state.voided) {
-		if (now - voidedAt < keyMemoryMs) {
+		if (now - voidedAt < keyRetentionMs) {
 			break;
 		}
 
--- a/packages/core/src/claims/judge-claim.ts
+++ b/packages/core/src/claims/judge-claim.ts
@@ -1,46 +1,45 @@
-/** What a claim has come to, from the fold of its stream alone. */
+/** Decides on a claim from the state of its stream. */
 import {type Claim} from '@shallotpass/common/log-records.js';
 import {makeKeyName} from './fold-claims.js';
 import {type ClaimState, type ClaimVerdict} from './types.js';
 
-type JudgeOptions = {
+type ClaimOptions = {
 	readonly state: ClaimState;
-	/** The claim as it was appended, or as it would be. */
+	/** The claim, which may not have been appended yet. */
 	readonly claim: Claim;
 	readonly now: number;
-	/** The log's own time, which the end of an unsafe time is told in. */
+	/** Current time of the log's clock, on which `unsafeUntil` is based. */
 	readonly logTime: number;
-	/** Whether a process with this id and start is known to be gone for good. */
+	/** Whether the process with this id and epoch is known to have ended. */
 	readonly isOwnerGone: (owner: string, ownerEpoch: string) => boolean;
 };
 
-/** After its answer deadline an owner has this long to record the outcome. */
+/** Time that an owner has after its answer deadline to record the outcome. */
 const outcomeGraceMs = 2000;
 
 /**
- * Nobody but the winner ever sends the call. A claim whose owner is gone without
- * an outcome stays unknown: the call may have been sent, and a second sending
- * could run it twice even at a backend server that checks fencing numbers,
- * because the first may have run before the second number was seen.
+ * Decides on a claim. Only the winner ever sends the call. If its owner ended without recording an outcome, the result
+ * is unknown: the call may have been sent, and sending it again could execute it twice. Fencing tokens don't
+ * prevent this, because the first call may have run before the backend server saw the second token.
  */
-export const judgeClaim = (options: JudgeOptions): ClaimVerdict => {
+export const judgeClaim = (options: ClaimOptions): ClaimVerdict => {
 	const {state, claim, now, logTime, isOwnerGone} = options;
-	const known = state.keys.get(makeKeyName(claim));
-	if (known === undefined || (known.outcome?.kind === 'not_sent' && known.claim.id !== claim.id)) {
+	const existing = state.keys.get(makeKeyName(claim));
+	if (existing === undefined || (existing.outcome?.kind === 'not_sent' && existing.claim.id !== claim.id)) {
 		return logTime < state.unsafeUntil ? {kind: 'unsafe', until: state.unsafeUntil} : {kind: 'absent'};
 	}
 
-	if (known.claim.digest !== claim.digest) {
+	if (existing.claim.digest !== claim.digest) {
 		return {kind: 'reused'};
 	}
 
-	if (known.claim.id === claim.id && known.outcome === undefined) {
-		return {kind: 'won', fencing: known.offset};
+	if (existing.claim.id === claim.id && existing.outcome === undefined) {
+		return {kind: 'won', fencing: existing.offset};
 	}
 
-	switch (known.outcome?.kind) {
+	switch (existing.outcome?.kind) {
 		case 'answered': {
-			return {kind: 'answered', outcomeOffset: known.outcome.offset};
+			return {kind: 'answered', outcomeOffset: existing.outcome.offset};
 		}
 
 		case 'answered_not_kept': {
@@ -56,9 +55,9 @@
 		}
 
 		case undefined: {
-			const isLapsed = now >= known.claim.answerBy + outcomeGraceMs;
-			const isGone = isLapsed || isOwnerGone(known.claim.owner, known.claim.ownerEpoch);
-			return isGone ? {kind: 'unknown'} : {kind: 'running', claim: known.claim};
+			const isOverdue = now >= existing.claim.answerBy + outcomeGraceMs;
+			const hasOwnerFailed = isOverdue || isOwnerGone(existing.claim.owner, existing.claim.ownerEpoch);
+			return hasOwnerFailed ? {kind: 'unknown'} : {kind: 'running', claim: existing.claim};
 		}
 	}
 };
--- a/packages/core/src/claims/types.ts
+++ b/packages/core/src/claims/types.ts
@@ -1,10 +1,10 @@
 import {type Claim, type Outcome} from '@shallotpass/common/log-records.js';
 import {type LogOffset} from '@shallotpass/common/types.js';
 
-/** What the log says of one key. The answer itself stays in the log, found by its offset. */
+/** State of one idempotency key. The answer itself stays in the log and is read by its offset. */
 export type KeyRecord = {
 	readonly claim: Claim;
-	/** Offset of the winning claim; also its fencing number. */
+	/** Offset of the winning claim, which is also its fencing token. */
 	readonly offset: LogOffset;
 	readonly appendedAt: number;
 	readonly outcome?: {readonly kind: Outcome['kind']; readonly offset: LogOffset};
@@ -14,21 +14,21 @@
 	/** Offset of the next record to read. */
 	readonly foldedTo: LogOffset;
 	readonly keys: Map<string, KeyRecord>;
-	/** Keys in the order in which they were claimed, for forgetting. */
+	/** Names of keys in the order in which they were first claimed, used to delete the oldest. */
 	readonly order: string[];
 	/**
-	 * Claims that were declared unsent before they stood in the log, and when: an append
-	 * whose owner gave it up can still take effect, and must not hold the key then.
+	 * Ids of claims that were declared unsent before they appeared in the log, with the time. The append of such a claim
+	 * can still take effect after its owner gave up on it, and must not reserve the key then.
 	 */
 	readonly voided: Map<string, number>;
 	/**
-	 * Records younger than the key memory were trimmed before they were read:
-	 * until then a key may have been used without this daemon knowing.
+	 * Set when records within the retention period were trimmed before they were read. Until this time, an unknown key
+	 * may have been used without this daemon knowing.
 	 */
 	readonly unsafeUntil: number;
 };
 
-/** What a caller's claim has come to. */
+/** Decision on a caller's claim. */
 export type ClaimVerdict =
 	| {readonly kind: 'won'; readonly fencing: LogOffset}
 	| {readonly kind: 'reused'}
