--- a/packages/core/src/configuration/configuration.test.ts
+++ b/packages/core/src/configuration/configuration.test.ts
@@ -22,7 +22,7 @@
 	},
 });
 
-const foldAll = (state: ConfigurationState, records: readonly LogRecord[]): ConfigurationState => {
+const applyAll = (state: ConfigurationState, records: readonly LogRecord[]): ConfigurationState => {
 	let next = state;
 	for (const record of records) {
 		next = foldConfigurationRecord(next, record);
@@ -34,14 +34,14 @@
 const listVersions = (state: ConfigurationState): Record<string, number> =>
 	Object.fromEntries(teams.map(team => [team, getAcceptedVersion(state, team)]));
 
-/** Logs as racing operators write them: bases are versions that stood some time, or are made up. */
-const logs = fc.array(fc.record({team: fc.constantFrom(...teams), lag: fc.nat(3), isWild: fc.boolean()}), {maxLength: 30}).map(steps => {
+/** Logs of concurrent operators. The base of a record is a version that was accepted earlier, or an arbitrary number. */
+const logs = fc.array(fc.record({team: fc.constantFrom(...teams), lag: fc.nat(3), hasArbitraryBase: fc.boolean()}), {maxLength: 30}).map(steps => {
 	const records: LogRecord[] = [];
 	const versions: Record<string, number[]> = {default: [-1], other: [-1]};
 	let state = emptyConfigurationState;
-	for (const [offset, {team, lag, isWild}] of steps.entries()) {
+	for (const [offset, {team, lag, hasArbitraryBase}] of steps.entries()) {
 		const known = versions[team]!;
-		const base = isWild ? offset - lag : known[Math.max(0, known.length - 1 - (lag === 3 ? 1 : 0))]!;
+		const base = hasArbitraryBase ? offset - lag : known[Math.max(0, known.length - 1 - (lag === 3 ? 1 : 0))]!;
 		const record = makeRecord(offset, {team, base});
 		records.push(record);
 		state = foldConfigurationRecord(state, record);
@@ -51,14 +51,14 @@
 	return records;
 });
 
-test('of two operators who worked from the same version one wins, the same on every reader', () => {
+test('of two records with the same base, the first in the log is accepted and the second is a conflict', () => {
 	const records = [makeRecord(0, {team: 'default', base: -1}), makeRecord(1, {team: 'default', base: 0}), makeRecord(2, {team: 'default', base: 0})];
-	const state = foldAll(emptyConfigurationState, records);
+	const state = applyAll(emptyConfigurationState, records);
 	assert.deepEqual(state.history.map(entry => entry.verdict), ['accepted', 'accepted', 'conflict']);
 	assert.equal(getAcceptedVersion(state, 'default'), 1);
 });
 
-test('versions only rise, and records read twice change nothing', () => {
+test('versions never decrease, and a record that is applied twice changes nothing', () => {
 	fc.assert(fc.property(logs, records => {
 		let state = emptyConfigurationState;
 		for (const record of records) {
@@ -73,63 +73,63 @@
 	}), {seed: 7});
 });
 
-test('readers that exchange offers in any order and at any lag agree with the log', () => {
-	// Zones lose the platform at different times and keep telling each other what they know.
-	// Once each has read the log, all must hold the same, whatever was passed around before.
+test('readers that exchange offers in any order and with any lag agree with the log', () => {
+	// Zones lose the connection to the platform at different times and keep exchanging offers.
+	// Once all have read the log, they must have the same state, whatever offers they received before.
 	fc.assert(fc.property(logs, fc.array(fc.tuple(fc.nat(2), fc.nat(2), fc.nat(5)), {maxLength: 40}), (records, steps) => {
 		const states = [emptyConfigurationState, emptyConfigurationState, emptyConfigurationState];
-		for (const [reader, teller, count] of steps) {
+		for (const [reader, sender, count] of steps) {
 			const before = listVersions(states[reader]!);
-			const read = foldAll(states[reader]!, records.slice(states[reader]!.foldedTo, states[reader]!.foldedTo + count));
-			states[reader] = takeOffer(read, makeOffer(states[teller]!), 0);
+			const read = applyAll(states[reader]!, records.slice(states[reader]!.foldedTo, states[reader]!.foldedTo + count));
+			states[reader] = takeOffer(read, makeOffer(states[sender]!), 0);
 			for (const team of teams) {
 				assert.ok(listVersions(states[reader])[team]! >= before[team]!);
 			}
 		}
 
-		const truth = listVersions(foldAll(emptyConfigurationState, records));
+		const expected = listVersions(applyAll(emptyConfigurationState, records));
 		for (const state of states) {
-			assert.deepEqual(listVersions(foldAll(state, records.slice(state.foldedTo))), truth);
+			assert.deepEqual(listVersions(applyAll(state, records.slice(state.foldedTo))), expected);
 		}
 	}), {seed: 7, numRuns: 500});
 });
 
-test('a reader that starts after a trim comes to the truth by a restatement, by a peer, or alone', () => {
-	// The log has forgotten the record that stands. A new instance reads from what is left; a
-	// record there may be based on one that it cannot see, so it may not judge by itself.
-	fc.assert(fc.property(logs, fc.nat(29), fc.boolean(), (records, cut, isByPeer) => {
-		const known = foldAll(emptyConfigurationState, records);
-		const truth = listVersions(known);
-		const earliest = Math.min(cut, records.length);
+test('a reader that starts after a trim gets the accepted version from a restatement or a peer', () => {
+	// The log has trimmed the record of the accepted version. A new daemon reads the rest, where a record
+	// may be based on one that was trimmed, so the daemon can't evaluate it alone.
+	fc.assert(fc.property(logs, fc.nat(29), fc.boolean(), (records, trimmedCount, usesPeer) => {
+		const known = applyAll(emptyConfigurationState, records);
+		const expected = listVersions(known);
+		const earliest = Math.min(trimmedCount, records.length);
 		const at = earliest + Math.floor((records.length - earliest) / 2);
-		const restating = foldAll(emptyConfigurationState, records.slice(0, at));
-		let reader = foldAll(noteTrim(emptyConfigurationState, earliest as LogOffset), records.slice(earliest));
-		if (isByPeer) {
-			reader = takeOffer(reader, makeOffer(restating), 0);
+		const author = applyAll(emptyConfigurationState, records.slice(0, at));
+		let reader = applyAll(noteTrim(emptyConfigurationState, earliest as LogOffset), records.slice(earliest));
+		if (usesPeer) {
+			reader = takeOffer(reader, makeOffer(author), 0);
 		} else {
 			const restatements = planRestatements({
-				state: restating, now: 1e9, ageMs: 0, place: 0,
+				state: author, now: 1e9, ageMs: 0, place: 0,
 			});
-			reader = foldAll(reader, restatements.map((record, index) => ({
+			reader = applyAll(reader, restatements.map((record, index) => ({
 				offset: (records.length + index) as LogOffset, appendedAt: 0, record,
 			})));
 			reader = settleGap(reader);
 		}
 
 		for (const team of teams) {
-			if (restating.accepted.has(team)) {
-				assert.equal(listVersions(reader)[team], truth[team]);
+			if (author.accepted.has(team)) {
+				assert.equal(listVersions(reader)[team], expected[team]);
 			}
 		}
 	}), {seed: 7, numRuns: 500});
 });
 
-test('a restatement never overtakes a newer version', () => {
-	const old = foldAll(emptyConfigurationState, [makeRecord(0, {team: 'default', base: -1})]);
+test('a restatement never replaces a newer version', () => {
+	const old = applyAll(emptyConfigurationState, [makeRecord(0, {team: 'default', base: -1})]);
 	const [restatement] = planRestatements({
 		state: old, now: 1e9, ageMs: 0, place: 0,
 	});
-	const state = foldAll(emptyConfigurationState, [
+	const state = applyAll(emptyConfigurationState, [
 		makeRecord(0, {team: 'default', base: -1}),
 		makeRecord(1, {team: 'default', base: 0}),
 		{offset: 2 as LogOffset, appendedAt: 0, record: restatement},
@@ -137,8 +137,8 @@
 	assert.equal(getAcceptedVersion(state, 'default'), 1);
 });
 
-test('one member restates first and the others see it and hold back', () => {
-	const state = foldAll(emptyConfigurationState, [makeRecord(0, {team: 'default', base: -1})]);
+test('the first member restates, and the others wait and see its restatement', () => {
+	const state = applyAll(emptyConfigurationState, [makeRecord(0, {team: 'default', base: -1})]);
 	const plan = (place: number, now: number) => planRestatements({
 		state, now, ageMs: 1000, place,
 	}).length;
@@ -146,34 +146,34 @@
 	const [record] = planRestatements({
 		state, now: 1000, ageMs: 1000, place: 0,
 	});
-	const seen = foldAll(state, [{offset: 1 as LogOffset, appendedAt: 1000, record}]);
+	const restated = applyAll(state, [{offset: 1 as LogOffset, appendedAt: 1000, record}]);
 	assert.equal(planRestatements({
-		state: seen, now: 40_000, ageMs: 1000, place: 1,
+		state: restated, now: 40_000, ageMs: 1000, place: 1,
 	}).length, 1);
 	assert.equal(planRestatements({
-		state: seen, now: 1900, ageMs: 1000, place: 1,
+		state: restated, now: 1900, ageMs: 1000, place: 1,
 	}).length, 0);
 });
 
-test('what is no record of ours on the stream is passed over', () => {
-	fc.assert(fc.property(fc.anything(), noise => {
-		const state = foldConfigurationRecord(emptyConfigurationState, {offset: 0 as LogOffset, appendedAt: 0, record: noise});
+test('unknown records on the stream are skipped', () => {
+	fc.assert(fc.property(fc.anything(), unknownRecord => {
+		const state = foldConfigurationRecord(emptyConfigurationState, {offset: 0 as LogOffset, appendedAt: 0, record: unknownRecord});
 		assert.deepEqual({foldedTo: state.foldedTo, accepted: state.accepted.size}, {foldedTo: 1, accepted: 0});
 	}), {seed: 7});
 });
 
-test('a reader that starts from one peer\'s offer after hearing from another agrees with one that read everything', () => {
-	// A new instance hears of the newest version by a probe before the peer that it asked for a
-	// start answers with what that one knew a moment ago. It must not go back.
-	fc.assert(fc.property(logs, fc.nat(30), fc.nat(30), (records, heardCut, toldCut) => {
-		const heard = takeOffer(emptyConfigurationState, makeOffer(foldAll(emptyConfigurationState, records.slice(0, heardCut))), 0);
-		const told = makeOffer(foldAll(emptyConfigurationState, records.slice(0, toldCut)));
-		const started = startFromOffer(heard, told, 0);
+test('a reader that starts from one peer\'s offer keeps newer versions from another and agrees with the log', () => {
+	// A new daemon gets the newest version with a probe before the peer that it asked for a start
+	// replies with an older state. It must not return to an older version.
+	fc.assert(fc.property(logs, fc.nat(30), fc.nat(30), (records, aheadCount, offerCount) => {
+		const ahead = takeOffer(emptyConfigurationState, makeOffer(applyAll(emptyConfigurationState, records.slice(0, aheadCount))), 0);
+		const offer = makeOffer(applyAll(emptyConfigurationState, records.slice(0, offerCount)));
+		const started = startFromOffer(ahead, offer, 0);
 		for (const team of teams) {
-			assert.ok(getAcceptedVersion(started, team) >= getAcceptedVersion(heard, team));
+			assert.ok(getAcceptedVersion(started, team) >= getAcceptedVersion(ahead, team));
 		}
 
-		const truth = foldAll(emptyConfigurationState, records);
-		assert.deepEqual(listVersions(foldAll(started, records.slice(started.foldedTo))), listVersions(truth));
+		const expected = applyAll(emptyConfigurationState, records);
+		assert.deepEqual(listVersions(applyAll(started, records.slice(started.foldedTo))), listVersions(expected));
 	}), {seed: 7, numRuns: 500});
 });
--- a/packages/core/src/configuration/diff-configurations.ts
+++ b/packages/core/src/configuration/diff-configurations.ts
@@ -1,4 +1,4 @@
-/** What a new configuration file would change, entry by entry. */
+/** Lists the entries that a new configuration would add, remove or change. */
 import {type Configuration} from '@shallotpass/common/configuration-schema.js';
 
 export type ConfigurationChange = {
--- a/packages/core/src/configuration/fold-configuration.ts
+++ b/packages/core/src/configuration/fold-configuration.ts
@@ -1,7 +1,6 @@
 /**
- * The fold that every daemon runs over the configuration stream. Log order
- * decides alone: a record is accepted if and only if its base is the version
- * that is accepted when the record is reached.
+ * State of the configuration stream, computed by every daemon in the same way. Only the log order decides: a record is
+ * accepted if and only if its base is the version that is in force when the record is applied.
  */
 import {configurationStreamRecordSchema, type ConfigurationRecord, type RestatementRecord} from '@shallotpass/common/log-records.js';
 import {type LogRecord} from '@shallotpass/common/log-service.js';
@@ -14,34 +13,34 @@
 	type TrimGap,
 } from './types.js';
 
-const longestHistory = 200;
-const mostPendingRecords = 10_000;
+const maxHistoryEntries = 200;
+const maxPendingRecords = 10_000;
 
 export const emptyConfigurationState: ConfigurationState = {
 	foldedTo: 0 as LogOffset,
 	accepted: new Map(),
 	history: [],
-	statedAt: new Map(),
+	lastWrittenAt: new Map(),
 };
 
 export const getAcceptedVersion = (state: ConfigurationState, team: string): ConfigurationVersion =>
 	state.accepted.get(team)?.version ?? noConfigurationVersion;
 
-const withAccepted = (state: ConfigurationState, accepted: AcceptedConfiguration, statedAt: number): ConfigurationState => ({
+const setAccepted = (state: ConfigurationState, accepted: AcceptedConfiguration, writtenAt: number): ConfigurationState => ({
 	...state,
 	accepted: new Map(state.accepted).set(accepted.team, accepted),
-	statedAt: new Map(state.statedAt).set(accepted.team, statedAt),
+	lastWrittenAt: new Map(state.lastWrittenAt).set(accepted.team, writtenAt),
 });
 
-const withHistory = (state: ConfigurationState, entry: HistoryEntry): ConfigurationState => ({
+const addHistoryEntry = (state: ConfigurationState, entry: HistoryEntry): ConfigurationState => ({
 	...state,
-	history: [...state.history, entry].slice(-longestHistory),
+	history: [...state.history, entry].slice(-maxHistoryEntries),
 });
 
-const judgeRecord = (state: ConfigurationState, record: ConfigurationRecord, source: LogRecord): ConfigurationState => {
+const applyConfiguration = (state: ConfigurationState, record: ConfigurationRecord, logRecord: LogRecord): ConfigurationState => {
 	const current = getAcceptedVersion(state, record.team);
-	const offset = source.offset as number as ConfigurationVersion;
-	// A peer's offer can run ahead of this reader; what it covers has been judged there.
+	const offset = logRecord.offset as number as ConfigurationVersion;
+	// A peer's offer can be ahead of this reader. The peer has already evaluated the records that it covers.
 	if (offset <= current) {
 		return state;
 	}
@@ -49,33 +48,34 @@
 	const {id, team, by, at} = record;
 	const base = record.base as ConfigurationVersion;
 	const verdict = base === current ? 'accepted' : 'conflict';
-	const judged = withHistory(state, {
+	const withEntry = addHistoryEntry(state, {
 		id, team, offset, base, by, at, verdict, current,
 	});
 	if (verdict === 'conflict') {
-		return judged;
+		return withEntry;
 	}
 
-	return withAccepted(judged, {
+	return setAccepted(withEntry, {
 		team, version: offset, id, toml: record.toml, by, at,
-	}, source.appendedAt);
+	}, logRecord.appendedAt);
 };
 
-const noteRestatement = (state: ConfigurationState, record: RestatementRecord, source: LogRecord): ConfigurationState => {
+/** A restatement of the accepted version renews the time at which it was last written. */
+const applyRestatement = (state: ConfigurationState, record: RestatementRecord, logRecord: LogRecord): ConfigurationState => {
 	if (getAcceptedVersion(state, record.team) !== record.version) {
 		return state;
 	}
 
-	return {...state, statedAt: new Map(state.statedAt).set(record.team, source.appendedAt)};
+	return {...state, lastWrittenAt: new Map(state.lastWrittenAt).set(record.team, logRecord.appendedAt)};
 };
 
 type StreamRecord = ConfigurationRecord | RestatementRecord;
 
-const foldParsed = (state: ConfigurationState, record: StreamRecord, source: LogRecord): ConfigurationState =>
-	record.kind === 'configuration' ? judgeRecord(state, record, source) : noteRestatement(state, record, source);
+const applyParsed = (state: ConfigurationState, record: StreamRecord, logRecord: LogRecord): ConfigurationState =>
+	record.kind === 'configuration' ? applyConfiguration(state, record, logRecord) : applyRestatement(state, record, logRecord);
 
-const parseRecord = (source: Pick<LogRecord, 'record'>): StreamRecord | undefined => {
-	const parsed = configurationStreamRecordSchema.safeParse(source.record);
+const parseRecord = (logRecord: Pick<LogRecord, 'record'>): StreamRecord | undefined => {
+	const parsed = configurationStreamRecordSchema.safeParse(logRecord.record);
 	return parsed.success ? parsed.data : undefined;
 };
 
@@ -83,11 +83,11 @@
 	readonly state: ConfigurationState;
 	readonly gap: TrimGap;
 	readonly team: string;
-	/** Records of the team from here on are judged again. */
+	/** Offset from which the team's pending records are evaluated. */
 	readonly from: number;
 };
 
-/** Marks a team as settled and judges again the records of it that were held back. */
+/** Marks a team as settled and evaluates its pending records. */
 export const settleTeam = (options: SettleOptions): ConfigurationState => {
 	const {state, gap, team, from} = options;
 	let next: ConfigurationState = {
@@ -95,74 +95,73 @@
 		gap: {
 			...gap,
 			settled: new Set(gap.settled).add(team),
-			pending: gap.pending.filter(held => held.team !== team),
+			pending: gap.pending.filter(item => item.team !== team),
 		},
 	};
-	for (const held of gap.pending) {
-		const record = parseRecord(held);
-		if (held.team === team && held.offset >= from && record !== undefined) {
-			next = foldParsed(next, record, held);
+	for (const item of gap.pending) {
+		const record = parseRecord(item);
+		if (item.team === team && item.offset >= from && record !== undefined) {
+			next = applyParsed(next, record, item);
 		}
 	}
 
 	return next;
 };
 
-const holdBack = (state: ConfigurationState, gap: TrimGap, held: PendingRecord): ConfigurationState => ({
+const addPending = (state: ConfigurationState, gap: TrimGap, item: PendingRecord): ConfigurationState => ({
 	...state,
-	gap: {...gap, pending: [...gap.pending, held].slice(-mostPendingRecords)},
+	gap: {...gap, pending: [...gap.pending, item].slice(-maxPendingRecords)},
 });
 
 /**
- * A restatement tells what was accepted once its author had read up to
- * `foldedTo`. A reader that starts after the trim adopts it and judges again
- * what it has held back since then. One that knows better keeps what it has, so
- * a late restatement never overtakes a newer version. A restatement by an author
- * who had not read up to the trim says nothing of the records in between.
+ * Applies a record while there is a gap. A restatement holds the version that was in force when its author had read the
+ * log up to `foldedTo`. The reader adopts that version and evaluates its pending records from there on. If it already knows
+ * a newer version it keeps that one, so a late restatement never replaces a newer version. A restatement whose author
+ * had not read up to the trim is not used, because it doesn't cover the records in between.
  */
-const foldIntoGap = (state: ConfigurationState, gap: TrimGap, source: LogRecord): ConfigurationState => {
-	const record = parseRecord(source);
+const applyDuringGap = (state: ConfigurationState, gap: TrimGap, logRecord: LogRecord): ConfigurationState => {
+	const record = parseRecord(logRecord);
 	if (record === undefined) {
 		return state;
 	}
 
 	const {team, id, toml, by, at} = record;
 	if (gap.settled.has(team)) {
-		return foldParsed(state, record, source);
+		return applyParsed(state, record, logRecord);
 	}
 
-	const held = holdBack(state, gap, {...source, team});
+	const withPending = addPending(state, gap, {...logRecord, team});
 	if (record.kind === 'configuration' || record.foldedTo < gap.earliest) {
-		return held;
+		return withPending;
 	}
 
 	const version = record.version as ConfigurationVersion;
-	const adopted = version > getAcceptedVersion(held, team)
-		? withAccepted(held, {
+	const adopted = version > getAcceptedVersion(withPending, team)
+		? setAccepted(withPending, {
 			team, version, id, toml, by, at,
-		}, source.appendedAt)
-		: held;
+		}, logRecord.appendedAt)
+		: withPending;
 	return settleTeam({
-		state: adopted, gap: held.gap!, team, from: record.foldedTo,
+		state: adopted, gap: withPending.gap!, team, from: record.foldedTo,
 	});
 };
 
-/** Takes the next record of the stream; a record that was read before changes nothing. */
-export const foldConfigurationRecord = (state: ConfigurationState, source: LogRecord): ConfigurationState => {
-	if (source.offset < state.foldedTo) {
+/** Applies the next record of the stream. A record that was applied before changes nothing. */
+export const foldConfigurationRecord = (state: ConfigurationState, logRecord: LogRecord): ConfigurationState => {
+	if (logRecord.offset < state.foldedTo) {
 		return state;
 	}
 
-	const moved = {...state, foldedTo: (source.offset + 1) as LogOffset};
-	if (moved.gap !== undefined) {
-		return foldIntoGap(moved, moved.gap, source);
+	const advanced = {...state, foldedTo: (logRecord.offset + 1) as LogOffset};
+	if (advanced.gap !== undefined) {
+		return applyDuringGap(advanced, advanced.gap, logRecord);
 	}
 
-	const record = parseRecord(source);
-	return record === undefined ? moved : foldParsed(moved, record, source);
+	const record = parseRecord(logRecord);
+	return record === undefined ? advanced : applyParsed(advanced, record, logRecord);
 };
 
-/** Records up to `earliest` are gone. What was accepted stays; later verdicts wait if some were missed. */
+/** Notes that records before `earliest` were trimmed. If some of them were not read, opens a gap and keeps the accepted versions. */
 export const noteTrim = (state: ConfigurationState, earliest: LogOffset): ConfigurationState => {
 	if (earliest <= state.foldedTo) {
 		return state;
@@ -172,19 +171,18 @@
 };
 
 /**
- * The end of the log was reached and nobody could say what was accepted before
- * the trim. A team that was never restated has its first record still in the
- * log, since older versions are restated long before they are trimmed; so the
- * oldest record that is left is taken to have been accepted.
+ * Closes the gap at the end of the log when no restatement and no peer has settled the remaining teams. Versions are
+ * restated long before they are trimmed, so a team without a restatement has its first record still in the log. The
+ * oldest record that is left is therefore accepted, whatever its base.
  */
 export const settleGap = (state: ConfigurationState): ConfigurationState => {
 	let next = state;
-	for (const team of new Set(state.gap?.pending.map(held => held.team))) {
+	for (const team of new Set(state.gap?.pending.map(item => item.team))) {
 		const accepted = getAcceptedVersion(next, team);
-		const first = next.gap!.pending.find(held => held.team === team && held.offset > accepted && parseRecord(held)?.kind === 'configuration');
+		const first = next.gap!.pending.find(item => item.team === team && item.offset > accepted && parseRecord(item)?.kind === 'configuration');
 		const record = first && parseRecord(first);
 		if (first !== undefined && record?.kind === 'configuration') {
-			next = judgeRecord(next, {...record, base: accepted}, first);
+			next = applyConfiguration(next, {...record, base: accepted}, first);
 		}
 
 		next = settleTeam({
--- a/packages/core/src/configuration/plan-restatement.ts
+++ b/packages/core/src/configuration/plan-restatement.ts
@@ -1,20 +1,20 @@
-/** Keeps the accepted configuration from being forgotten when the log trims its oldest records. */
+/** Appends the accepted configuration again as a restatement before the log trims the record that holds it. */
 import {type RestatementRecord} from '@shallotpass/common/log-records.js';
 import {type ConfigurationState} from './types.js';
 
 type RestatementOptions = {
 	readonly state: ConfigurationState;
 	readonly now: number;
-	/** Age at which a version is stated again, in milliseconds. */
+	/** Age at which a version is restated, in milliseconds. */
 	readonly ageMs: number;
-	/** Place of this daemon among the members, from 0; later ones hold back longer. */
+	/** Index of this daemon among the members, from 0. Daemons with a higher index wait longer. */
 	readonly place: number;
 };
 
-/** How much longer each next member waits, so that one restates and the others see it. */
-const holdBackMs = 30_000;
+/** Additional wait per member index, so that one member writes the restatement and the others see it in time. */
+const waitPerMemberMs = 30_000;
 
-/** The restatements that this daemon should append now. */
+/** Returns the restatements that this daemon should append now. */
 export const planRestatements = (options: RestatementOptions): RestatementRecord[] => {
 	const {state, now, ageMs, place} = options;
 	if (state.gap !== undefined) {
@@ -22,7 +22,7 @@
 	}
 
 	return [...state.accepted.values()]
-		.filter(accepted => now - (state.statedAt.get(accepted.team) ?? now) >= ageMs + (place * holdBackMs))
+		.filter(accepted => now - (state.lastWrittenAt.get(accepted.team) ?? now) >= ageMs + (place * waitPerMemberMs))
 		.map(accepted => ({
 			kind: 'restatement',
 			...accepted,
--- a/packages/core/src/configuration/take-offer.ts
+++ b/packages/core/src/configuration/take-offer.ts
@@ -1,7 +1,8 @@
-/** Versions that daemons pass on to each other, so that one without the log still learns of them. */
+/** Exchange of configurations between daemons, so that a daemon that can't reach the log still gets new versions. */
 import {getAcceptedVersion, settleTeam} from './fold-configuration.js';
 import {type ConfigurationOffer, type ConfigurationState} from './types.js';
 
+/** Makes the offer that this daemon sends to its peers. */
 export const makeOffer = (state: ConfigurationState): ConfigurationOffer => ({
 	accepted: [...state.accepted.values()],
 	foldedTo: state.foldedTo,
@@ -9,18 +10,17 @@
 	isComplete: state.gap === undefined,
 });
 
-/** Versions by team; small enough to travel with every probe. */
+/** Returns the accepted version of each team. The result is small enough to be sent with every probe. */
 export const makeVersionDigest = (state: ConfigurationState): Record<string, number> =>
 	Object.fromEntries([...state.accepted].map(([team, accepted]) => [team, accepted.version]));
 
-/** Whether the digest names a version that this daemon does not have yet. */
+/** Whether the digest contains a version that is newer than the one this daemon has accepted. */
 export const hasNewerVersion = (state: ConfigurationState, digest: Readonly<Record<string, number>>): boolean =>
 	Object.entries(digest).some(([team, version]) => version > getAcceptedVersion(state, team));
 
 /**
- * Takes from an offer what is newer than what is known. A lower version is never
- * taken, whoever offers it. When this daemon could not judge records after a
- * trim and the peer has read at least as far, the peer's word settles them.
+ * Adopts the versions of an offer that are newer than the known ones, never older ones. If this daemon has a gap and
+ * the peer has read the log past the trim, the offer settles all teams and closes the gap.
  */
 export const takeOffer = (state: ConfigurationState, offer: ConfigurationOffer, now: number): ConfigurationState => {
 	let next = state;
@@ -29,7 +29,7 @@
 			next = {
 				...next,
 				accepted: new Map(next.accepted).set(accepted.team, accepted),
-				statedAt: new Map(next.statedAt).set(accepted.team, next.statedAt.get(accepted.team) ?? now),
+				lastWrittenAt: new Map(next.lastWrittenAt).set(accepted.team, next.lastWrittenAt.get(accepted.team) ?? now),
 			};
 		}
 	}
@@ -39,7 +39,7 @@
 		return next;
 	}
 
-	for (const team of new Set([...next.accepted.keys(), ...gap.pending.map(held => held.team)])) {
+	for (const team of new Set([...next.accepted.keys(), ...gap.pending.map(item => item.team)])) {
 		next = settleTeam({
 			state: next, gap: next.gap!, team, from: offer.foldedTo,
 		});
@@ -49,9 +49,8 @@
 };
 
 /**
- * What a daemon that has read nothing of the log takes over from a peer, so that it
- * reads on from there instead of from the log's beginning. What it has heard from
- * another peer meanwhile stays if it is newer.
+ * Initializes a daemon that has not read the log from a peer's offer, so that it continues reading where the peer
+ * stopped instead of at the start of the log. Newer versions that it has received from other peers are kept.
  */
 export const startFromOffer = (state: ConfigurationState, offer: ConfigurationOffer, now: number): ConfigurationState => {
 	if (state.foldedTo !== 0 || !offer.isComplete) {
@@ -62,7 +61,7 @@
 		foldedTo: offer.foldedTo,
 		accepted: new Map(offer.accepted.map(accepted => [accepted.team, accepted])),
 		history: offer.history,
-		statedAt: new Map(offer.accepted.map(accepted => [accepted.team, now])),
+		lastWrittenAt: new Map(offer.accepted.map(accepted => [accepted.team, now])),
 	};
 	return takeOffer(started, makeOffer(state), now);
 };
--- a/packages/core/src/configuration/types.ts
+++ b/packages/core/src/configuration/types.ts
@@ -1,18 +1,18 @@
 import {type ConfigurationVersion, type LogOffset} from '@shallotpass/common/types.js';
 
-/** A configuration that won its place in the log. */
+/** A version of a team's configuration that was accepted. */
 export type AcceptedConfiguration = {
 	readonly team: string;
-	/** Offset of the record that first carried it; restatements keep it. */
+	/** Offset of the record that first contained it. Restatements keep this version. */
 	readonly version: ConfigurationVersion;
-	/** Unique id of the apply, which finds it again after a lost reply. */
+	/** Unique id of the apply request, which identifies the record after a lost reply. */
 	readonly id: string;
 	readonly toml: string;
 	readonly by: string;
 	readonly at: number;
 };
 
-/** What became of one record; the history that operators see. */
+/** Result of one configuration record, shown to operators in the history. */
 export type HistoryEntry = {
 	readonly id: string;
 	readonly team: string;
@@ -21,11 +21,11 @@
 	readonly by: string;
 	readonly at: number;
 	readonly verdict: 'accepted' | 'conflict';
-	/** Version that was accepted when the record was read. */
+	/** Version that was in force when the record was applied. */
 	readonly current: ConfigurationVersion;
 };
 
-/** A record whose verdict needs the records that the log has trimmed. */
+/** A record that can't be evaluated yet, because its verdict depends on records that the log has trimmed. */
 export type PendingRecord = {
 	readonly team: string;
 	readonly offset: LogOffset;
@@ -33,33 +33,34 @@
 	readonly appendedAt: number;
 };
 
-/** Left by a start on a trimmed log: verdicts of teams that are not settled wait. */
+/** State of a reader that missed trimmed records. Records of teams that aren't settled are kept until they can be evaluated. */
 export type TrimGap = {
 	/** Oldest offset that could be read. */
 	readonly earliest: LogOffset;
-	/** Teams whose accepted version a restatement or a peer has told since. */
+	/** Teams whose accepted version is known since the trim, from a restatement or from a peer. */
 	readonly settled: ReadonlySet<string>;
 	readonly pending: readonly PendingRecord[];
 };
 
-/** Fold of the configuration stream. */
+/** State that results from applying the records of the configuration stream. */
 export type ConfigurationState = {
 	/** Offset of the next record to read. */
 	readonly foldedTo: LogOffset;
+	/** Accepted configuration by team. */
 	readonly accepted: ReadonlyMap<string, AcceptedConfiguration>;
 	readonly history: readonly HistoryEntry[];
-	/** Present while the first records may be based on ones that are gone. */
+	/** Set while records that have been read may be based on trimmed ones. */
 	readonly gap?: TrimGap;
-	/** When the accepted version of each team last stood in the log, by the log's clock. */
-	readonly statedAt: ReadonlyMap<string, number>;
+	/** When the accepted version of each team was last written to the log, by the log's clock. */
+	readonly lastWrittenAt: ReadonlyMap<string, number>;
 };
 
-/** What one daemon tells another: everything accepted up to `foldedTo`. */
+/** State that one daemon sends to another: everything that was accepted before `foldedTo`. */
 export type ConfigurationOffer = {
 	readonly accepted: readonly AcceptedConfiguration[];
 	readonly foldedTo: LogOffset;
-	/** Verdicts of late, for a daemon that has read nothing itself. */
+	/** Recent verdicts, for a daemon that has not read the log itself. */
 	readonly history: readonly HistoryEntry[];
-	/** Whether every team is told; not so while the author has a gap of its own. */
+	/** Whether every team is included. False while the sender has a gap itself. */
 	readonly isComplete: boolean;
 };
