--- a/packages/core/src/membership/fold-membership.ts
+++ b/packages/core/src/membership/fold-membership.ts
@@ -1,6 +1,6 @@
 /**
- * Membership by probes, in the manner of SWIM: one probe a period and news that
- * rides on it, so that the bytes of one daemon do not grow with their number.
+ * Membership protocol based on SWIM. Each daemon sends one probe per period, and updates about members are piggybacked
+ * on probes, so the traffic of a daemon doesn't grow with the number of members.
  */
 import {hashText} from '../routing/rank-by-rendezvous.js';
 import {
@@ -16,6 +16,7 @@
 	rumors: [{id: self.id, sentTimes: 0}],
 });
 
+/** Whether an update overrides what is known: a later epoch, then a higher incarnation, then a later status. A dead status is overridden only by a later epoch or a higher incarnation. */
 const isNewer = (update: MemberUpdate, known: MemberUpdate): boolean => {
 	if (update.epoch !== known.epoch) {
 		return update.epoch > known.epoch;
@@ -32,20 +33,20 @@
 	return memberStatuses.indexOf(update.status) > memberStatuses.indexOf(known.status);
 };
 
-const withRumor = (state: MembershipState, id: string): MembershipState => ({
+const addRumor = (state: MembershipState, id: string): MembershipState => ({
 	...state,
 	rumors: [{id, sentTimes: 0}, ...state.rumors.filter(rumor => rumor.id !== id)],
 });
 
-/** Answers news of one's own suspicion or death with a higher incarnation. */
-const refute = (state: MembershipState, update: MemberUpdate): MembershipState => {
+/** Refutes an update that reports this daemon as suspect or dead, by raising its incarnation. */
+const refuteUpdate = (state: MembershipState, update: MemberUpdate): MembershipState => {
 	const {self} = state;
-	const isOurs = update.epoch === self.epoch && update.incarnation >= self.incarnation;
-	if (!isOurs || update.status === self.status || (update.status !== 'suspect' && update.status !== 'dead')) {
+	const isAboutThisProcess = update.epoch === self.epoch && update.incarnation >= self.incarnation;
+	if (!isAboutThisProcess || update.status === self.status || (update.status !== 'suspect' && update.status !== 'dead')) {
 		return state;
 	}
 
-	return withRumor({...state, self: {...self, incarnation: update.incarnation + 1}}, self.id);
+	return addRumor({...state, self: {...self, incarnation: update.incarnation + 1}}, self.id);
 };
 
 const computeChangesAt = (update: MemberUpdate, now: number, options: MembershipOptions): number | undefined => {
@@ -55,7 +56,7 @@
 		}
 
 		case 'dead': {
-			return now + options.forgetAfterMs;
+			return now + options.deadRetentionMs;
 		}
 
 		case 'alive':
@@ -65,10 +66,10 @@
 	}
 };
 
-/** Takes one piece of news about a member, from a peer or from the instance list. */
+/** Applies an update about a member, from a peer or from the instance list. */
 export const applyUpdate = (state: MembershipState, update: MemberUpdate, now: number, options: MembershipOptions): MembershipState => {
 	if (update.id === state.self.id) {
-		return refute(state, update);
+		return refuteUpdate(state, update);
 	}
 
 	if (update.region !== state.self.region) {
@@ -88,7 +89,7 @@
 	const member: Member = {
 		id, address, availabilityZone, region, epoch, incarnation, status, changesAt: computeChangesAt(update, now, options),
 	};
-	return withRumor({...state, members: new Map(state.members).set(id, member)}, id);
+	return addRumor({...state, members: new Map(state.members).set(id, member)}, id);
 };
 
 export const applyUpdates = (state: MembershipState, updates: readonly MemberUpdate[], now: number, options: MembershipOptions): MembershipState => {
@@ -100,7 +101,7 @@
 	return next;
 };
 
-/** A probe and the indirect ones after it got no answer. */
+/** Marks a member as suspect after its direct and indirect probes got no answer. */
 export const suspectMember = (state: MembershipState, id: string, now: number, options: MembershipOptions): MembershipState => {
 	const known = state.members.get(id);
 	if (known === undefined || known.status === 'suspect' || known.status === 'dead') {
@@ -110,7 +111,7 @@
 	return applyUpdate(state, {...known, status: 'suspect'}, now, options);
 };
 
-/** Turns suspicions whose time is up into deaths, and forgets deaths whose time is up. */
+/** Declares members dead whose suspicion has timed out, and removes dead members after their retention time. */
 export const expireMembers = (state: MembershipState, now: number, options: MembershipOptions): MembershipState => {
 	let next = state;
 	for (const member of state.members.values()) {
@@ -142,9 +143,8 @@
 };
 
 /**
- * The member to probe in this period. Every member comes once a round, so that
- * no death goes unnoticed for longer than two rounds. The dead are probed too
- * while they are remembered: after a cut heals they answer and return.
+ * Chooses the member to probe in this period. Each member is probed once per round, so a failure is detected within two
+ * rounds. Dead members are probed too until they are removed: after a network partition heals, they answer and rejoin.
  */
 export const chooseProbe = (state: MembershipState, random: Random): ProbeChoice => {
 	let {round} = state;
@@ -156,7 +156,7 @@
 	return {state: {...state, round: rest}, target: first === undefined ? undefined : state.members.get(first)};
 };
 
-/** Members that may probe the target in this daemon's stead. */
+/** Chooses members that probe the target indirectly, on behalf of this daemon. */
 export const chooseHelpers = (state: MembershipState, target: string, count: number, random: Random): Member[] => {
 	const candidates = [...state.members.values()].filter(member => member.id !== target && member.status === 'alive');
 	return shuffle(candidates.map(member => member.id), random)
@@ -164,7 +164,7 @@
 		.map(id => state.members.get(id)!);
 };
 
-/** Takes what a newcomer is told of everybody; it is news to nobody else and is not passed on. */
+/** Applies the member list that a new daemon receives. The other members know it already, so it isn't passed on. */
 export const takeIntroduction = (state: MembershipState, updates: readonly MemberUpdate[], now: number, options: MembershipOptions): MembershipState => ({
 	...applyUpdates(state, updates, now, options),
 	rumors: state.rumors,
@@ -179,53 +179,53 @@
 	id, address, availabilityZone, region, epoch, incarnation, status,
 });
 
-/** Times that a piece of news is sent by each member, for each decimal digit of their number. */
+/** Number of times that each member sends an update, per decimal digit of the number of members. */
 const sendsPerDigit = 4;
 
-/** The news to send with the next message; each piece is sent a number of times that grows with the logarithm of the members. */
+/** Takes the updates to send with the next message. Each update is sent a number of times that grows logarithmically with the number of members. */
 export const takeRumors = (state: MembershipState, options: MembershipOptions): RumorChoice => {
-	const mostTimes = sendsPerDigit * Math.ceil(Math.log10(state.members.size + 2));
-	const chosen = state.rumors.slice(0, options.mostUpdates);
+	const maxSends = sendsPerDigit * Math.ceil(Math.log10(state.members.size + 2));
+	const chosen = state.rumors.slice(0, options.maxUpdates);
 	const sent = chosen
 		.map(rumor => ({...rumor, sentTimes: rumor.sentTimes + 1}))
-		.filter(rumor => rumor.sentTimes < mostTimes);
+		.filter(rumor => rumor.sentTimes < maxSends);
 	const updates = chosen.flatMap(rumor => {
 		const update = rumor.id === state.self.id ? state.self : state.members.get(rumor.id);
 		return update === undefined ? [] : [toUpdate(update)];
 	});
 	return {
-		// What was sent least goes first; else old news would hold up a death for a whole round of it.
-		state: {...state, rumors: [...state.rumors.slice(options.mostUpdates), ...sent].toSorted((left, right) => left.sentTimes - right.sentTimes)},
+		// Least-sent updates go first. Otherwise the report of a failure would wait until all older updates were sent again.
+		state: {...state, rumors: [...state.rumors.slice(options.maxUpdates), ...sent].toSorted((left, right) => left.sentTimes - right.sentTimes)},
 		updates,
 	};
 };
 
-/** This daemon is about to stop and says so. */
-export const announceLeaving = (state: MembershipState): MembershipState => withRumor({
+/** Announces that this daemon is about to stop. */
+export const announceLeaving = (state: MembershipState): MembershipState => addRumor({
 	...state,
 	self: {...state.self, status: 'leaving', incarnation: state.self.incarnation + 1},
 }, state.self.id);
 
-/** Ids of this daemon and of the members that can be asked, sorted. */
+/** Returns the sorted ids of this daemon and of the members that can receive requests. */
 export const listReachable = (state: MembershipState): string[] => [
 	state.self.id,
 	...[...state.members.values()].filter(member => isReachable(member) && member.status !== 'suspect').map(member => member.id),
 ].toSorted();
 
-/** Ids of those that may be given duties: reachable and not about to stop. Never empty: alone, this daemon does all itself. */
+/** Returns the sorted ids of daemons that can be assigned tasks: alive and not about to stop. If there are no others, this daemon is included even if it is leaving. */
 export const listSteady = (state: MembershipState): string[] => {
 	const others = [...state.members.values()].filter(member => member.status === 'alive').map(member => member.id);
-	const isSelfSteady = state.self.status === 'alive' || others.length === 0;
-	return (isSelfSteady ? [state.self.id, ...others] : others).toSorted();
+	const isSelfAssignable = state.self.status === 'alive' || others.length === 0;
+	return (isSelfAssignable ? [state.self.id, ...others] : others).toSorted();
 };
 
-/** Digest of who is a member; two daemons with the same one need not compare their lists. */
+/** Computes a digest of the member list. Two daemons with equal digests don't need to compare their lists. */
 export const digestView = (state: MembershipState): number => {
-	const living = [state.self, ...state.members.values()].filter(member => isReachable(member));
-	return hashText(living.map(member => `${member.id} ${member.epoch}`).toSorted().join('\n'));
+	const reachable = [state.self, ...state.members.values()].filter(member => isReachable(member));
+	return hashText(reachable.map(member => `${member.id} ${member.epoch}`).toSorted().join('\n'));
 };
 
-/** Whether the process with this id and start is known to be gone. */
+/** Whether the process with this id and epoch is known to have ended. */
 export const isProcessGone = (state: MembershipState, id: string, epoch: number): boolean => {
 	if (id === state.self.id) {
 		return epoch !== state.self.epoch;
--- a/packages/core/src/membership/membership.test.ts
+++ b/packages/core/src/membership/membership.test.ts
@@ -29,29 +29,29 @@
 const makeState = (...ids: readonly string[]): MembershipState =>
 	applyUpdates(makeMembershipState(makeUpdate('self')), ids.map(id => makeUpdate(id)), 0, options);
 
-test('a member that is silent is suspected, then dead, then forgotten', () => {
+test('a silent member becomes suspect, then dead, and is then removed', () => {
 	let state = suspectMember(makeState('a'), 'a', 0, options);
 	assert.deepEqual(listReachable(state), ['self']);
 	state = expireMembers(state, 999, options);
 	assert.equal(state.members.get('a')?.status, 'suspect');
 	state = expireMembers(state, 1000, options);
 	assert.equal(state.members.get('a')?.status, 'dead');
-	state = expireMembers(state, 1000 + options.forgetAfterMs, options);
+	state = expireMembers(state, 1000 + options.deadRetentionMs, options);
 	assert.equal(state.members.has('a'), false);
 });
 
-test('a member that was paused refutes its suspicion when it returns', () => {
-	// An instance stops for some seconds, as when its host is moved, and goes on. It hears that
-	// it is suspected and says that it is not; its requests are routed again.
+test('a member that was paused refutes the suspicion when it resumes', () => {
+	// An instance is paused for some seconds, for example by a live migration. When it resumes, it learns
+	// that it is suspect and refutes this, and requests are routed to it again.
 	const others = suspectMember(makeState('self-of-a'), 'self-of-a', 0, options);
 	const paused = makeMembershipState(makeUpdate('self-of-a'));
-	const told = applyUpdate(paused, {...others.members.get('self-of-a')!}, 0, options);
-	assert.equal(told.self.incarnation, 1);
-	const back = applyUpdate(others, told.self, 0, options);
-	assert.equal(back.members.get('self-of-a')?.status, 'alive');
+	const notified = applyUpdate(paused, {...others.members.get('self-of-a')!}, 0, options);
+	assert.equal(notified.self.incarnation, 1);
+	const resumed = applyUpdate(others, notified.self, 0, options);
+	assert.equal(resumed.members.get('self-of-a')?.status, 'alive');
 });
 
-test('a dead member does not come back by old news, only by its own word or as a new process', () => {
+test('a dead member is not restored by an outdated update, but by a new process with the same id', () => {
 	let state = expireMembers(suspectMember(makeState('a'), 'a', 0, options), 1000, options);
 	state = applyUpdate(state, makeUpdate('a'), 1000, options);
 	assert.equal(state.members.get('a')?.status, 'dead');
@@ -62,11 +62,11 @@
 	assert.equal(isProcessGone(restarted, 'a', 2), false);
 });
 
-test('news of another region changes nothing', () => {
+test('updates from another region are ignored', () => {
 	assert.equal(applyUpdate(makeState(), makeUpdate('far', {region: 'other'}), 0, options).members.size, 0);
 });
 
-test('a member that leaves says so and still answers', () => {
+test('a leaving member stays reachable but is no longer assigned tasks', () => {
 	const leaving = announceLeaving(makeMembershipState(makeUpdate('a')));
 	const state = applyUpdate(makeState('a'), leaving.self, 0, options);
 	assert.equal(state.members.get('a')?.status, 'leaving');
@@ -75,13 +75,13 @@
 	assert.deepEqual(listSteady(leaving), ['a']);
 });
 
-test('in whatever order news arrives, members come to the same view', () => {
+test('the resulting view does not depend on the order of updates', () => {
 	const update = fc.record({
 		id: fc.constantFrom('a', 'b'), epoch: fc.nat(2), incarnation: fc.nat(3), status: fc.constantFrom(...memberStatuses),
 	});
-	fc.assert(fc.property(fc.array(update, {maxLength: 12}), fc.infiniteStream(fc.double({min: 0, max: 1, noNaN: true})), (news, orders) => {
-		const updates = news.map(change => makeUpdate(change.id, change));
-		// Each is known alive first: a death of nobody known is not news.
+	fc.assert(fc.property(fc.array(update, {maxLength: 12}), fc.infiniteStream(fc.double({min: 0, max: 1, noNaN: true})), (changes, orders) => {
+		const updates = changes.map(change => makeUpdate(change.id, change));
+		// Both members are known to be alive at first, because the death of an unknown member is ignored.
 		const base = makeState('a', 'b');
 		const shuffled = updates.map(item => ({item, order: orders.next().value as number})).toSorted((left, right) => left.order - right.order).map(entry => entry.item);
 		const views = [updates, shuffled].map(list => [...applyUpdates(base, list, 0, options).members.values()]
@@ -93,7 +93,7 @@
 	}), {seed: 7, numRuns: 500});
 });
 
-test('each member is probed once a round', () => {
+test('each member is probed once per round', () => {
 	let state = makeState('a', 'b', 'c', 'd');
 	const random = makeRandom(1);
 	const probed: string[] = [];
@@ -107,13 +107,13 @@
 	assert.deepEqual(probed.slice(4).toSorted(), ['a', 'b', 'c', 'd']);
 });
 
-test('a message carries a bounded number of updates, and each piece of news is sent often enough and then no more', () => {
+test('a message holds a limited number of updates, and each update is sent a fixed number of times', () => {
 	let state = makeState(...Array.from({length: 50}, (_value, index) => `m${index}`));
 	const sent = new Map<string, number>();
 	for (let index = 0; index < 500; index++) {
 		const choice = takeRumors(state, options);
 		state = choice.state;
-		assert.ok(choice.updates.length <= options.mostUpdates);
+		assert.ok(choice.updates.length <= options.maxUpdates);
 		for (const {id} of choice.updates) {
 			sent.set(id, (sent.get(id) ?? 0) + 1);
 		}
@@ -124,9 +124,9 @@
 	assert.equal(takeRumors(state, options).updates.length, 0);
 });
 
-test('a death is told before older news that is still being passed on', () => {
-	// Many instances start at once, as after a reclaim wave, and one dies in the middle of it.
-	// Were its death to wait behind all the joins, requests would go to it for many seconds.
+test('a failure is sent before older updates that are still being sent', () => {
+	// Many instances start at once, as after a reclaim wave, and one of them fails meanwhile. If the update
+	// about it waited behind those about new members, requests would be routed to it for many seconds.
 	let state = makeState(...Array.from({length: 60}, (_value, index) => `m${index}`));
 	for (let index = 0; index < 20; index++) {
 		state = takeRumors(state, options).state;
@@ -139,7 +139,7 @@
 	assert.equal(second.updates.some(update => update.id === 'm7'), true);
 });
 
-test('what a newcomer is told of everybody is not passed on as news', () => {
+test('the member list that a new daemon receives is not passed on', () => {
 	const before = makeMembershipState(makeUpdate('self'));
 	const state = takeIntroduction(before, Array.from({length: 50}, (_value, index) => makeUpdate(`m${index}`)), 0, options);
 	assert.equal(state.members.size, 50);
--- a/packages/core/src/membership/types.ts
+++ b/packages/core/src/membership/types.ts
@@ -1,6 +1,6 @@
 import * as z from 'zod';
 
-/** Later ones override earlier ones at the same incarnation. */
+/** Member statuses. At the same incarnation, a later status in this list overrides an earlier one. */
 export const memberStatuses = ['alive', 'leaving', 'suspect', 'dead'] as const;
 
 export const memberUpdateSchema = z.object({
@@ -8,7 +8,7 @@
 	address: z.string(),
 	availabilityZone: z.string(),
 	region: z.string(),
-	/** Start of the process, milliseconds since the epoch; a restart is a new member under the old name. */
+	/** Start time of the process, in milliseconds since the Unix epoch. A restarted process keeps its id and has a higher epoch. */
 	epoch: z.number(),
 	/** Raised only by the member itself, to refute a suspicion. */
 	incarnation: z.int().nonnegative(),
@@ -19,7 +19,7 @@
 export type MemberUpdate = z.output<typeof memberUpdateSchema>;
 
 export type Member = MemberUpdate & {
-	/** When a suspicion becomes a death, or a death is forgotten. */
+	/** When a suspect member is declared dead, or a dead member is removed. */
 	readonly changesAt?: number;
 };
 
@@ -33,22 +33,22 @@
 	readonly members: ReadonlyMap<string, Member>;
 	/** Members still to probe in this round, in shuffled order. */
 	readonly round: readonly string[];
-	/** Changes that are still passed on with probes, the least-sent first. */
+	/** Updates that are still sent with probes, least-sent first. */
 	readonly rumors: readonly Rumor[];
 };
 
 export type MembershipOptions = {
 	readonly suspectForMs: number;
-	/** Most updates in one message; bounds the bytes of a probe. */
-	readonly mostUpdates: number;
-	/** How long a dead member is remembered, so that old news does not revive it. */
-	readonly forgetAfterMs: number;
+	/** Maximum number of updates in a message, which limits the size of a probe. */
+	readonly maxUpdates: number;
+	/** How long a dead member is kept, so that an outdated update doesn't restore it. */
+	readonly deadRetentionMs: number;
 };
 
 export const defaultMembershipOptions: MembershipOptions = {
 	suspectForMs: 4000,
-	mostUpdates: 6,
-	forgetAfterMs: 60_000,
+	maxUpdates: 6,
+	deadRetentionMs: 60_000,
 };
 
 export const isReachable = (member: Pick<MemberUpdate, 'status'>): boolean => member.status !== 'dead';
