--- a/packages/core/src/testing/play-limit.ts
+++ b/packages/core/src/testing/play-limit.ts
@@ -1,4 +1,4 @@
-/** Plays one client account's calls over several daemons that share its limit, in virtual time. */
+/** Simulates the calls of one client account to several daemons that share its rate limit, in virtual time. */
 import {type AccountLimit} from '../calls/serving-configuration.js';
 import {
 	type AccountBucket, noteDemand, openBucket, readDemand, takeFromBucket,
@@ -15,18 +15,19 @@
 	readonly daemons: number;
 	readonly limit: AccountLimit;
 	readonly bounds: LimitBounds;
-	/** Time between two tellings, and until all know, in milliseconds. */
+	/** Interval between two gossip reports of a daemon, in milliseconds. */
 	readonly tellEveryMs: number;
+	/** Time until all daemons know a report, in milliseconds. */
 	readonly gossipMs: number;
-	/** Cost units asked a second at a moment. */
+	/** Returns the requested cost units per second at a time. */
 	readonly getAsked: (now: number) => number;
-	/** Mean cost of a call; costs are spread widely about it. */
+	/** Mean cost of a call. Costs are exponentially distributed, up to five times the mean. */
 	readonly meanCost: number;
-	/** Part of the calls that cost only `smallCost`. */
+	/** Fraction of the calls that cost only `smallCost`. */
 	readonly smallPart?: number;
-	/** Part of the other calls that are two ranks less urgent. */
+	/** Fraction of the calls that are two ranks less urgent. */
 	readonly lessUrgentPart?: number;
-	/** When all daemons end, and begin anew half a second later; undefined when they run on. */
+	/** When all daemons stop, to restart half a second later. Undefined if they keep running. */
 	readonly endsAt?: number;
 	readonly lengthMs: number;
 	readonly random: () => number;
@@ -42,86 +43,91 @@
 type Daemon = {
 	spending: Spending;
 	bucket: AccountBucket;
-	/** What it told last. */
-	told: {readonly slots: readonly number[]; readonly demand: number};
-	nextTellingAt: number;
+	/** Last report that the daemon sent. */
+	lastReport: {readonly slots: readonly number[]; readonly demand: number};
+	nextReportAt: number;
 };
 
-/** The holder writes what all spent so often, in milliseconds. */
-const writeEveryMs = 900;
-const unwrittenMs = 1200;
+/** Interval at which the lease holder writes the spending of all daemons. */
+const writeIntervalMs = 900;
+
+/** Longest time in which spending isn't written yet. The record predicts the spending that far ahead. */
+const maxUnwrittenMs = 1200;
+
+/** Time from the stop of all daemons to their restart. */
 const restartMs = 500;
 
-const startDaemon = (play: LimitPlay, now: number): Daemon => ({
-	spending: openSpending(play.bounds.quotaWindowMs),
+const startDaemon = (simulation: LimitPlay, now: number): Daemon => ({
+	spending: openSpending(simulation.bounds.quotaWindowMs),
 	bucket: openBucket(now),
-	told: {slots: [], demand: 0},
-	nextTellingAt: now + (play.random() * play.tellEveryMs),
+	lastReport: {slots: [], demand: 0},
+	nextReportAt: now + (simulation.random() * simulation.tellEveryMs),
 });
 
+/** Rank of less urgent calls. The others have rank 0. */
 const lessUrgentRank = 2;
 
-/** Cost of a small call. */
+/** Cost of a small call, in cost units. */
 export const smallCost = 200;
 
 const drawCost = ({meanCost, smallPart = 0, random}: LimitPlay): number => random() < smallPart ? smallCost : Math.min(meanCost * 5, -Math.log(1 - random()) * meanCost);
 
-/** Plays the calls in the order of time, and says which were admitted. */
-export const playLimit = (play: LimitPlay): PlayedCall[] => {
-	const {bounds, random} = play;
-	const usable = computeMostUsable(play.limit, bounds);
-	let daemons = Array.from({length: play.daemons}, () => startDaemon(play, 0));
+/** Simulates the calls in the order of their time and returns which of them were admitted. */
+export const playLimit = (simulation: LimitPlay): PlayedCall[] => {
+	const {bounds, random} = simulation;
+	const usable = computeMostUsable(simulation.limit, bounds);
+	let daemons = Array.from({length: simulation.daemons}, () => startDaemon(simulation, 0));
 	let record: {slots: readonly number[]; at: number} = {slots: [], at: 0};
 	let inherited = record;
 	let writtenAt = 0;
-	let isEnded = false;
+	let hasStopped = false;
 	const calls: PlayedCall[] = [];
 
-	const tell = (daemon: Daemon, now: number): void => {
-		if (now >= daemon.nextTellingAt) {
-			daemon.told = {slots: readSpentSlots(daemon.spending, now), demand: readDemand(daemon.bucket, now)};
-			daemon.nextTellingAt += play.tellEveryMs;
+	const sendReport = (daemon: Daemon, now: number): void => {
+		if (now >= daemon.nextReportAt) {
+			daemon.lastReport = {slots: readSpentSlots(daemon.spending, now), demand: readDemand(daemon.bucket, now)};
+			daemon.nextReportAt += simulation.tellEveryMs;
 		}
 	};
 
 	const writeRecord = (now: number): void => {
-		if (now < writtenAt + writeEveryMs) {
+		if (now < writtenAt + writeIntervalMs) {
 			return;
 		}
 
 		writtenAt = now;
-		const slots = addSlots(daemons.map(({told}) => told.slots));
-		const demand = daemons.reduce((sum, {told}) => sum + told.demand, 0);
+		const slots = addSlots(daemons.map(({lastReport}) => lastReport.slots));
+		const demand = daemons.reduce((sum, {lastReport}) => sum + lastReport.demand, 0);
 		record = {
 			slots: predictSlots({
-				slots, demand, usable, aheadMs: unwrittenMs, windowMs: bounds.quotaWindowMs,
+				slots, demand, usable, aheadMs: maxUnwrittenMs, windowMs: bounds.quotaWindowMs,
 			}),
-			at: now + unwrittenMs,
+			at: now + maxUnwrittenMs,
 		};
 	};
 
 	const viewSpending = (daemon: Daemon, {cost, rank}: LimitedCall, now: number): SpendingView => {
 		const others = daemons.filter(other => other !== daemon);
 		return {
-			usable: computeUsable(play.limit, bounds, {cost, rank}),
+			usable: computeUsable(simulation.limit, bounds, {cost, rank}),
 			windowMs: bounds.quotaWindowMs,
 			spent: sumSlots(addSlots([
 				readSpentSlots(daemon.spending, now),
-				...others.map(({told}) => told.slots),
+				...others.map(({lastReport}) => lastReport.slots),
 				ageSlots(inherited.slots, now - inherited.at, bounds.quotaWindowMs),
 			])),
 			ownDemand: readDemand(daemon.bucket, now),
-			otherDemands: others.map(({told}) => told.demand),
+			otherDemands: others.map(({lastReport}) => lastReport.demand),
 			heardDaemons: daemons.length,
 			silentDaemons: 0,
-			gossipMs: play.gossipMs,
+			gossipMs: simulation.gossipMs,
 		};
 	};
 
-	const ask = (now: number): void => {
+	const makeCall = (now: number): void => {
 		const daemon = daemons[Math.floor(random() * daemons.length)]!;
-		const cost = drawCost(play);
-		const rank = random() < (play.lessUrgentPart ?? 0) ? lessUrgentRank : 0;
+		const cost = drawCost(simulation);
+		const rank = random() < (simulation.lessUrgentPart ?? 0) ? lessUrgentRank : 0;
 		daemon.bucket = noteDemand(daemon.bucket, cost, now);
 		const view = viewSpending(daemon, {cost, rank}, now);
 		const verdict = takeFromBucket(daemon.bucket, {
@@ -137,26 +143,26 @@
 		});
 	};
 
-	for (let now = 0; now < play.lengthMs; now += 10) {
-		if (play.endsAt !== undefined && !isEnded && now >= play.endsAt) {
-			isEnded = true;
+	for (let now = 0; now < simulation.lengthMs; now += 10) {
+		if (simulation.endsAt !== undefined && !hasStopped && now >= simulation.endsAt) {
+			hasStopped = true;
 			inherited = record;
-			daemons = daemons.map(() => startDaemon(play, now + restartMs));
+			daemons = daemons.map(() => startDaemon(simulation, now + restartMs));
 		}
 
-		if (isEnded && now < (play.endsAt ?? 0) + restartMs) {
+		if (hasStopped && now < (simulation.endsAt ?? 0) + restartMs) {
 			continue;
 		}
 
 		for (const daemon of daemons) {
-			tell(daemon, now);
+			sendReport(daemon, now);
 		}
 
 		writeRecord(now);
-		const chance = play.getAsked(now) / play.meanCost / 100;
+		const chance = simulation.getAsked(now) / simulation.meanCost / 100;
 		for (let left = chance; left > 0; left--) {
 			if (random() < left) {
-				ask(now);
+				makeCall(now);
 			}
 		}
 	}
