--- a/packages/core/src/admission/adapt-concurrency.ts
+++ b/packages/core/src/admission/adapt-concurrency.ts
@@ -1,57 +1,60 @@
 /**
- * How many calls this daemon lets run at one backend server at once: additive
- * increase while answers keep their targets, multiplicative decrease when they do
- * not (the rule of TCP's congestion avoidance, RFC 5681). Daemons that share a
- * backend server come to fair parts of it without a message.
+ * Adaptive limit on the calls that this daemon runs concurrently on one backend server: additive
+ * increase while answers meet their targets, multiplicative decrease when they do not (as in TCP
+ * congestion avoidance, RFC 5681). Daemons that share a backend server converge to fair shares of
+ * it without exchanging messages.
  */
 
 export type ConcurrencyLimit = {
-	/** Calls at once; not a whole number, so that it can grow by parts. */
+	/** Maximum number of concurrent calls. Fractional, so that it can grow by less than 1 per answer. */
 	readonly limit: number;
-	/** Nothing is taken away again before this moment, milliseconds since the epoch. */
-	readonly steadyUntil: number;
+	/** The limit does not decrease again before this time, in milliseconds since the epoch. */
+	readonly nextDecreaseAt: number;
 };
 
 export type ConcurrencySample = {
 	readonly now: number;
-	/** Calls of this daemon that run there. */
+	/** Calls of this daemon that are running on the backend server. */
 	readonly running: number;
-	/** Whether calls wait at the backend server, or its answers miss their targets. */
+	/** Whether calls are queued at the backend server or its answers miss their targets. */
 	readonly isOverloaded: boolean;
-	/** The limit never grows beyond this. */
+	/** Upper bound of the limit. */
 	readonly mostRunning: number;
 };
 
 const decreaseFactor = 0.85;
 
-/** Answers that were slow before the last decrease say nothing about the limit after it. */
-const steadyForMs = 500;
+/** Minimum time between decreases: answers that were slow before the last decrease do not reflect the new limit. */
+const minDecreaseIntervalMs = 500;
 
-const leastLimit = 1;
+const minLimit = 1;
 
-/** A limit that is not used this far has shown nothing about being too low. */
-const usedShare = 0.7;
+/** The limit grows only if at least this share of it is in use; otherwise there is no evidence that it is too low. */
+const minUtilization = 0.7;
 
-export const makeConcurrencyLimit = (mostRunning: number): ConcurrencyLimit => ({limit: mostRunning, steadyUntil: 0});
+export const makeConcurrencyLimit = (maxConcurrency: number): ConcurrencyLimit => ({limit: maxConcurrency, nextDecreaseAt: 0});
 
-/** Learns from one answer. */
+/** Updates the limit after an answer. */
 export const adaptConcurrency = (state: ConcurrencyLimit, sample: ConcurrencySample): ConcurrencyLimit => {
 	if (sample.isOverloaded) {
-		return sample.now < state.steadyUntil
+		return sample.now < state.nextDecreaseAt
 			? state
-			: {limit: Math.max(leastLimit, Math.min(state.limit, sample.running) * decreaseFactor), steadyUntil: sample.now + steadyForMs};
+			: {limit: Math.max(minLimit, Math.min(state.limit, sample.running) * decreaseFactor), nextDecreaseAt: sample.now + minDecreaseIntervalMs};
 	}
 
-	if (sample.running < state.limit * usedShare) {
+	if (sample.running < state.limit * minUtilization) {
 		return state;
 	}
 
 	return {...state, limit: Math.min(sample.mostRunning, state.limit + (1 / state.limit))};
 };
 
-/** Work without a latency target leaves this part of the places free, so that a counter answer finds one at once. */
-const patientShare = 0.85;
+/**
+ * Share of the capacity that requests without a latency target may use. The rest stays free, so
+ * that a request with a latency target can start at once.
+ */
+const backgroundCapacityShare = 0.85;
 
-/** Whether a call may start, given how many run and how many may. */
-export const hasPlace = (running: number, capacity: number, isPatient: boolean): boolean =>
-	running < (isPatient ? Math.ceil(capacity * patientShare) : capacity);
+/** Whether another call may start, given the running calls and the capacity. */
+export const hasPlace = (running: number, capacity: number, isBackground: boolean): boolean =>
+	running < (isBackground ? Math.ceil(capacity * backgroundCapacityShare) : capacity);
--- a/packages/core/src/admission/judge-reach.test.ts
+++ b/packages/core/src/admission/judge-reach.test.ts
@@ -5,14 +5,14 @@
 
 const random = makeRandom(1);
 
-test('guards against a call that waits in line until its deadline although no backend server can answer by then', () => {
+test('rejects a call that no backend server can answer by its deadline instead of queueing it', () => {
 	const retryAfterS = judgeReach({
 		predictedMs: 5000, deadline: 13_000, now: 10_000, random,
 	});
 	assert.ok(retryAfterS !== undefined && retryAfterS > 0.5 && retryAfterS < 1, String(retryAfterS));
 });
 
-test('guards against refusing what can be answered, also late', () => {
+test('accepts calls that may be answered by their deadline, including those predicted to be slightly late', () => {
 	for (const predictedMs of [0, 500, 3000, 4400]) {
 		assert.equal(judgeReach({
 			predictedMs, deadline: 13_000, now: 10_000, random,
@@ -20,7 +20,7 @@
 	}
 });
 
-test('guards against refused callers that all come back at one moment', () => {
+test('spreads the retry times of rejected callers', () => {
 	const times = Array.from({length: 50}, () => judgeReach({
 		predictedMs: 9000, deadline: 13_000, now: 10_000, random,
 	})!);
--- a/packages/core/src/admission/judge-reach.ts
+++ b/packages/core/src/admission/judge-reach.ts
@@ -1,27 +1,27 @@
-/** Overload: whether a call that waits at the best backend server can still be answered in time. */
+/** Early rejection under overload: detects calls that even the best backend server cannot answer by their deadline. */
 
-/** Predictions err; only what is predicted for this many times the time that is left is taken for unreachable. */
-const surelyLateFactor = 1.5;
+/** A deadline counts as unreachable if the prediction exceeds this multiple of the remaining time. The margin allows for prediction errors. */
+const unreachableFactor = 1.5;
 
-/** Part of the time that is left after which the caller may ask again, in time for a second try. */
-const retryPart = 0.25;
+/** Share of the remaining time after which the caller may retry. It leaves enough time for a second attempt. */
+const retryAfterShare = 0.25;
 
-export type Reach = {
-	/** Until the first byte at the best backend server, in milliseconds. */
+export type DeadlinePrediction = {
+	/** Predicted time to first byte on the best backend server, in milliseconds. */
 	readonly predictedMs: number;
-	/** Both on the steady clock. */
+	/** `deadline` and `now` are times on the steady clock, in milliseconds. */
 	readonly deadline: number;
 	readonly now: number;
 	readonly random: () => number;
 };
 
-/** Seconds after which a caller may ask again whose call cannot be answered by its deadline; undefined when it may be. */
-export const judgeReach = ({predictedMs, deadline, now, random}: Reach): number | undefined => {
-	const leftMs = deadline - now;
-	if (predictedMs <= leftMs * surelyLateFactor) {
+/** Returns the retry delay in seconds for a call that cannot be answered by its deadline, or undefined if it may be. */
+export const judgeReach = ({predictedMs, deadline, now, random}: DeadlinePrediction): number | undefined => {
+	const remainingMs = deadline - now;
+	if (predictedMs <= remainingMs * unreachableFactor) {
 		return undefined;
 	}
 
-	// Callers that come back together would meet the same line.
-	return Math.max(0, leftMs) * retryPart * (0.75 + (random() / 2)) / 1000;
+	// Jitter keeps rejected callers from all retrying at the same time and waiting in the same queue.
+	return Math.max(0, remainingMs) * retryAfterShare * (0.75 + (random() / 2)) / 1000;
 };
--- a/packages/core/src/admission/limit-rate.ts
+++ b/packages/core/src/admission/limit-rate.ts
@@ -1,35 +1,35 @@
-/** Request and token limits of client accounts, as one stored moment each. */
+/** Request and token rate limits of client accounts. Each limit stores a single timestamp. */
 
 export type RateLimit = {
 	readonly perSecond: number;
-	/** How much may be used at once. */
+	/** Amount that may be used at once. */
 	readonly burst: number;
 };
 
 export type RateDecision = {
-	/** State to keep: the moment at which the account's past use is paid off. */
+	/** State to store: the GCRA theoretical arrival time, in milliseconds. */
 	readonly paidAt: number;
 	readonly isAllowed: boolean;
-	/** When the same amount would be allowed, if it is not now. */
+	/** Time at which the same amount would be allowed; `now` if it is allowed already. */
 	readonly retryAt: number;
 };
 
-/** Virtual scheduling (GCRA): exact, and one number of state for each account. */
-export const limitRate = (paidAt: number, amount: number, now: number, limit: RateLimit): RateDecision => {
+/** Generic cell rate algorithm (GCRA) in its virtual scheduling form: exact, with one number of state per account. */
+export const limitRate = (theoreticalArrivalAt: number, amount: number, now: number, limit: RateLimit): RateDecision => {
 	const cost = (amount / limit.perSecond) * 1000;
 	const tolerance = (limit.burst / limit.perSecond) * 1000;
-	const start = Math.max(paidAt, now);
+	const start = Math.max(theoreticalArrivalAt, now);
 	const isAllowed = start + cost - now <= Math.max(tolerance, cost);
 	return {
-		paidAt: isAllowed ? start + cost : paidAt,
+		paidAt: isAllowed ? start + cost : theoreticalArrivalAt,
 		isAllowed,
 		retryAt: isAllowed ? now : start + cost - Math.max(tolerance, cost),
 	};
 };
 
 /**
- * The share of a limit that one daemon may give out. Callers reach daemons
- * through the platform's balancer, so use spreads evenly enough; a daemon cut
- * off from the others keeps to the share of the last members it saw.
+ * Returns the part of a limit that one daemon may grant. The platform's load balancer spreads
+ * callers evenly enough over the daemons. A partitioned daemon keeps using the last member count
+ * that it knew.
  */
-export const shareLimit = (limit: number, members: number): number => limit / Math.max(1, members);
+export const shareLimit = (limit: number, memberCount: number): number => limit / Math.max(1, memberCount);
--- a/packages/core/src/admission/waiting-queue.test.ts
+++ b/packages/core/src/admission/waiting-queue.test.ts
@@ -8,34 +8,34 @@
 	id, account: 'a', share: 1, rank: 0, work: 100, waitingSince: 0, deadline: 1e9, isPatient: false, ...change,
 });
 
-const counter = {rank: 0, startBy: 1e6};
-const draft = {rank: 10, isPatient: true};
+const interactive = {rank: 0, startBy: 1e6};
+const background = {rank: 10, isPatient: true};
 
-test('a draft starts though counter answers never leave more than the places that are kept for them', () => {
-	// On a market day the counter never rests. A letter that was ordered in the morning must
-	// still be written; shop staff would otherwise wait for it until its deadline.
+test('a background request starts even if interactive requests leave only the reserved capacity free', () => {
+	// Under a constant load of interactive requests, a background request would otherwise wait
+	// until its deadline.
 	const queue = makeWaitingQueue();
-	enqueueRequest(queue, makeRequest('draft', draft), 1000);
+	enqueueRequest(queue, makeRequest('background', background), 1000);
 	const taken: string[] = [];
 	for (let now = 1; now <= 40; now++) {
-		enqueueRequest(queue, makeRequest(`counter-${now}`, {...counter, waitingSince: now}), 1000);
+		enqueueRequest(queue, makeRequest(`interactive-${now}`, {...interactive, waitingSince: now}), 1000);
 		taken.push(dequeueRequest(queue, {now, running: 19, capacity: 20})!.id);
 	}
 
-	assert.ok(taken.includes('draft'), taken.join(' '));
-	assert.ok(taken.indexOf('draft') >= 10, 'counter answers go before it most of the time');
+	assert.ok(taken.includes('background'), taken.join(' '));
+	assert.ok(taken.indexOf('background') >= 10, 'most interactive requests start before it');
 });
 
-test('a draft does not take the last free places while its turn has not come', () => {
+test('a background request does not use the reserved capacity before its oldest-first turn', () => {
 	const queue = makeWaitingQueue();
-	enqueueRequest(queue, makeRequest('draft', draft), 1000);
+	enqueueRequest(queue, makeRequest('background', background), 1000);
 	assert.equal(dequeueRequest(queue, {now: 1, running: 19, capacity: 20}), undefined);
-	assert.equal(dequeueRequest(queue, {now: 1, running: 10, capacity: 20})?.id, 'draft');
+	assert.equal(dequeueRequest(queue, {now: 1, running: 10, capacity: 20})?.id, 'background');
 });
 
-test('in one class those that can still keep their target go before those that are late', () => {
-	// The line is long. Served in the order of arrival, each customer would be answered just
-	// after the target; so those who are late anyway wait a little longer and the others are in time.
+test('within a class, requests that can still meet their target go before late ones', () => {
+	// In a long queue that is served in order of arrival, every request would miss its target by a
+	// little. Requests that are late already wait longer, so that the others are on time.
 	const queue = makeWaitingQueue();
 	enqueueRequest(queue, makeRequest('late', {startBy: 50}), 1000);
 	enqueueRequest(queue, makeRequest('in-time', {account: 'b', startBy: 500, work: 300}), 1000);
@@ -43,7 +43,7 @@
 	assert.equal(dequeueRequest(queue, {now: 100, running: 0, capacity: 1})?.id, 'late');
 });
 
-test('accounts are served by their shares, however much one of them asks', () => {
+test('accounts are served in proportion to their shares, regardless of how many requests each sends', () => {
 	const queue = makeWaitingQueue();
 	for (let index = 0; index < 60; index++) {
 		enqueueRequest(queue, makeRequest(`large-${index}`, {account: 'large', share: 2, waitingSince: index}), 1000);
--- a/packages/core/src/admission/waiting-queue.ts
+++ b/packages/core/src/admission/waiting-queue.ts
@@ -1,4 +1,4 @@
-/** Requests that wait for a backend server: by class rank, then fairly between accounts, in bounds. */
+/** Bounded queue of requests that wait for a backend server, ordered by class rank and then by weighted fair queueing between accounts. */
 import {hasPlace} from './adapt-concurrency.js';
 
 export type WaitingRequest = {
@@ -6,46 +6,49 @@
 	readonly account: string;
 	readonly share: number;
 	readonly rank: number;
-	/** Expected work in tokens; what fairness is measured in. */
+	/** Expected cost in tokens, used for fair queueing. */
 	readonly work: number;
 	readonly waitingSince: number;
 	readonly deadline: number;
-	/** When it has to start for its latency target, milliseconds since the epoch; absent without a target. */
+	/** Latest start time that meets the latency target, in milliseconds since the epoch; absent without a target. */
 	readonly startBy?: number;
-	/** Whether it has no latency target, and fills what others leave. */
+	/** Whether the request has no latency target and uses only spare capacity. */
 	readonly isPatient: boolean;
 };
 
-type Entry = {
+type QueueEntry = {
 	readonly request: WaitingRequest;
 	readonly rank: number;
-	/** Infinity without a target. A field that some entries lack costs half a microsecond at each look. */
+	/** Infinity without a target: reading a field that some entries lack costs half a microsecond per access. */
 	readonly startBy: number;
 	readonly waitingSince: number;
-	readonly isPatient: boolean;
+	readonly isBackground: boolean;
 	readonly finishTag: number;
 };
 
 export type WaitingQueue = {
-	readonly entries: Entry[];
-	/** Virtual finish time of each account's last request. */
+	readonly entries: QueueEntry[];
+	/** Virtual finish time of the last request of each account. */
 	readonly accountTags: Map<string, number>;
 	virtualTime: number;
-	takenSinceOldest: number;
+	dequeuedSinceOldestFirst: number;
 };
 
-/** One in this many goes to the request that waited longest, whatever its class, so that no class starves. */
-const oldestTurn = 16;
+/** Every n-th dequeue takes the request that waited longest, regardless of its class, so that no class starves. */
+const oldestFirstInterval = 16;
 
 export const makeWaitingQueue = (): WaitingQueue => ({
 	entries: [],
 	accountTags: new Map(),
 	virtualTime: 0,
-	takenSinceOldest: 0,
+	dequeuedSinceOldestFirst: 0,
 });
 
-/** One that is late for its target already gives way to one that can still keep its own, or in an overload all would be late. */
-const isBefore = (left: Entry, right: Entry, now: number): boolean => {
+/**
+ * Whether `left` is dequeued before `right`. Within a rank, requests that can no longer meet their
+ * target come after those that can; otherwise every request would be late under overload.
+ */
+const isBefore = (left: QueueEntry, right: QueueEntry, now: number): boolean => {
 	if (left.rank !== right.rank) {
 		return left.rank < right.rank;
 	}
@@ -54,12 +57,12 @@
 	return (left.startBy < now) === isRightLate ? left.finishTag < right.finishTag : isRightLate;
 };
 
-/** Adds a request. Returns the request that had to give way when the queue is full, which may be the new one. */
+/** Adds a request. If the queue exceeds its capacity, removes and returns the least urgent request, which may be the new one. */
 export const enqueueRequest = (queue: WaitingQueue, request: WaitingRequest, capacity: number): WaitingRequest | undefined => {
 	const start = Math.max(queue.virtualTime, queue.accountTags.get(request.account) ?? 0);
-	const {rank, startBy = Number.POSITIVE_INFINITY, waitingSince, isPatient} = request;
-	const entry: Entry = {
-		request, rank, startBy, waitingSince, isPatient, finishTag: start + (request.work / request.share),
+	const {rank, startBy = Number.POSITIVE_INFINITY, waitingSince, isPatient: isBackground} = request;
+	const entry: QueueEntry = {
+		request, rank, startBy, waitingSince, isBackground, finishTag: start + (request.work / request.share),
 	};
 	queue.accountTags.set(request.account, entry.finishTag);
 	queue.entries.push(entry);
@@ -67,38 +70,38 @@
 		return undefined;
 	}
 
-	let last: Entry = queue.entries[0]!;
+	let leastUrgent: QueueEntry = queue.entries[0]!;
 	for (const candidate of queue.entries) {
-		if (isBefore(last, candidate, request.waitingSince)) {
-			last = candidate;
+		if (isBefore(leastUrgent, candidate, request.waitingSince)) {
+			leastUrgent = candidate;
 		}
 	}
 
-	queue.entries.splice(queue.entries.indexOf(last), 1);
-	return last.request;
+	queue.entries.splice(queue.entries.indexOf(leastUrgent), 1);
+	return leastUrgent.request;
 };
 
-/** What may start now. */
-export type Places = {
+/** Current time and capacity, which decide what may start. */
+export type CapacityState = {
 	readonly now: number;
-	/** Calls that run. */
+	/** Number of running calls. */
 	readonly running: number;
-	/** Calls that may run. */
+	/** Number of calls that may run concurrently. */
 	readonly capacity: number;
 };
 
-const pickNext = (queue: WaitingQueue, {now, running, capacity}: Places): Entry | undefined => {
-	const wantsOldest = queue.takenSinceOldest >= oldestTurn - 1;
-	const hasUrgentPlace = hasPlace(running, capacity, false);
-	// Were the free places kept from the oldest too, drafts would starve behind a counter that never rests.
-	const hasPatientPlace = wantsOldest ? hasUrgentPlace : hasPlace(running, capacity, true);
-	let best: Entry | undefined;
+const pickNext = (queue: WaitingQueue, {now, running, capacity}: CapacityState): QueueEntry | undefined => {
+	const isOldestFirst = queue.dequeuedSinceOldestFirst >= oldestFirstInterval - 1;
+	const hasInteractiveCapacity = hasPlace(running, capacity, false);
+	// The oldest request may use the reserved capacity too; otherwise background requests would starve under constant interactive load.
+	const hasBackgroundCapacity = isOldestFirst ? hasInteractiveCapacity : hasPlace(running, capacity, true);
+	let best: QueueEntry | undefined;
 	for (const entry of queue.entries) {
-		if (!(entry.isPatient ? hasPatientPlace : hasUrgentPlace)) {
+		if (!(entry.isBackground ? hasBackgroundCapacity : hasInteractiveCapacity)) {
 			continue;
 		}
 
-		if (best === undefined || (wantsOldest ? entry.waitingSince < best.waitingSince : isBefore(entry, best, now))) {
+		if (best === undefined || (isOldestFirst ? entry.waitingSince < best.waitingSince : isBefore(entry, best, now))) {
 			best = entry;
 		}
 	}
@@ -106,15 +109,15 @@
 	return best;
 };
 
-/** Takes the next request that has a place. */
-export const dequeueRequest = (queue: WaitingQueue, places: Places): WaitingRequest | undefined => {
-	const entry = pickNext(queue, places);
+/** Removes and returns the next request that may start. */
+export const dequeueRequest = (queue: WaitingQueue, capacityState: CapacityState): WaitingRequest | undefined => {
+	const entry = pickNext(queue, capacityState);
 	if (entry === undefined) {
 		return undefined;
 	}
 
 	queue.entries.splice(queue.entries.indexOf(entry), 1);
-	queue.takenSinceOldest = queue.takenSinceOldest >= oldestTurn - 1 ? 0 : queue.takenSinceOldest + 1;
+	queue.dequeuedSinceOldestFirst = queue.dequeuedSinceOldestFirst >= oldestFirstInterval - 1 ? 0 : queue.dequeuedSinceOldestFirst + 1;
 	queue.virtualTime = Math.max(queue.virtualTime, entry.finishTag - (entry.request.work / entry.request.share));
 	if (queue.entries.length === 0) {
 		queue.accountTags.clear();
@@ -124,7 +127,7 @@
 	return entry.request;
 };
 
-/** Takes out the requests whose deadline has passed. */
+/** Removes and returns the requests whose deadline has passed. */
 export const expireRequests = (queue: WaitingQueue, now: number): WaitingRequest[] => {
 	const expired = queue.entries.filter(entry => entry.request.deadline <= now);
 	for (const entry of expired) {
