--- a/packages/core/src/calls/index-configuration.ts
+++ b/packages/core/src/calls/index-configuration.ts
@@ -1,11 +1,11 @@
-/** Look-up tables over a configuration, built once a version. */
+/** Lookup tables for a configuration, built once per configuration version. */
 import {
 	type Account, type Route, type Service, type ServingConfiguration,
 } from './serving-configuration.js';
 
 export type IndexedConfiguration = {
 	readonly configuration: ServingConfiguration;
-	/** Routes of a host, the longest prefix first. */
+	/** Routes by lowercase host, longest path prefix first. */
 	readonly routesByHost: ReadonlyMap<string, readonly Route[]>;
 	readonly servicesByName: ReadonlyMap<string, Service>;
 	readonly accountsByKey: ReadonlyMap<string, Account>;
@@ -36,20 +36,20 @@
 	accountsByName: new Map(configuration.accounts.map(account => [account.name, account])),
 });
 
-/** The route with the longest prefix that begins the path. `host` may carry a port. */
+/** Returns the route with the longest path prefix that matches the path. `host` may include a port. */
 export const findRoute = (index: IndexedConfiguration, host: string, path: string): Route | undefined => {
-	const name = host.toLowerCase().replace(/:\d+$/v, '');
-	return index.routesByHost.get(name)?.find(route => path.startsWith(route.pathPrefix));
+	const hostname = host.toLowerCase().replace(/:\d+$/v, '');
+	return index.routesByHost.get(hostname)?.find(route => path.startsWith(route.pathPrefix));
 };
 
-/** The service of a split route; `share` is a number from 0 to 1 that is fixed for a call. */
-export const pickService = (route: Route, share: number): string | undefined => {
-	const total = route.services.reduce((sum, entry) => sum + Math.max(0, entry.weight), 0);
-	let left = share * total;
-	for (const entry of route.services) {
-		left -= Math.max(0, entry.weight);
-		if (left < 0) {
-			return entry.service;
+/** Picks a service of a route in proportion to the weights. `fraction` is a number from 0 to 1 that stays the same for a call. */
+export const pickService = (route: Route, fraction: number): string | undefined => {
+	const total = route.services.reduce((sum, weightedService) => sum + Math.max(0, weightedService.weight), 0);
+	let remaining = fraction * total;
+	for (const weightedService of route.services) {
+		remaining -= Math.max(0, weightedService.weight);
+		if (remaining < 0) {
+			return weightedService.service;
 		}
 	}
 
--- a/packages/core/src/calls/serving-configuration.ts
+++ b/packages/core/src/calls/serving-configuration.ts
@@ -1,4 +1,4 @@
-/** The configuration that calls are served by, in the product's own terms. Durations stand here as the operator wrote them. */
+/** Configuration for serving calls, independent of the wire format. Durations have the values that the operator set. */
 import {type Repeatability} from './types.js';
 
 export type WeightedService = {
@@ -11,9 +11,9 @@
 	readonly host: string;
 	readonly pathPrefix: string;
 	readonly repeatability: Repeatability;
-	/** Longest time that a caller is kept waiting, in milliseconds. */
+	/** Maximum time that a caller waits for its answer, in milliseconds. */
 	readonly limitMs: number;
-	/** Time within which an answer counts in full, in milliseconds. */
+	/** Target time for an answer, in milliseconds; later answers no longer count in full. */
 	readonly targetMs: number;
 	readonly rank: number;
 	readonly attempts: number;
@@ -21,19 +21,19 @@
 	readonly services: readonly WeightedService[];
 };
 
-/** How many backend servers of a service may be ordered, for each availability zone. */
+/** Number of backend servers of a service that may be ordered, per availability zone, with their boot time and prices. */
 export type FleetBounds = {
 	readonly least: number;
 	readonly most: number;
 	readonly bootMs: number;
-	/** Price of a reclaimable backend server as a share of the full price; undefined where none are offered. */
+	/** Price of a reclaimable backend server as a fraction of the full price; undefined if none are offered. */
 	readonly reclaimablePrice: number | undefined;
-	/** Price of a second of a backend server by availability zone. */
+	/** Price per second of a backend server, by availability zone. */
 	readonly zonePrices: Readonly<Record<string, number>>;
 };
 
-/** What a model engine of a service can hold. */
-export type EngineTraits = {
+/** Capacity of a model engine: concurrent calls (`places`) and tokens in its cache. */
+export type EngineCapacity = {
 	readonly places: number;
 	readonly cacheTokens: number;
 };
@@ -41,17 +41,18 @@
 export type Service = {
 	readonly name: string;
 	readonly maxConnections: number;
-	readonly engine: EngineTraits | undefined;
-	/** Whether a run's memory can be taken to another backend server. */
+	readonly engine: EngineCapacity | undefined;
+	/** Whether the KV cache of a running call can be transferred to another backend server. */
 	readonly canMoveRuns: boolean;
 	readonly fleet: FleetBounds | undefined;
 };
 
 export type AccountLimit = {
-	/** Cost units a second and a burst of them; 0 or less means no limit. */
+	/** Cost units per second; 0 or less means no limit. */
 	readonly perSecond: number;
+	/** Cost units that may be spent at once in addition. */
 	readonly burst: number;
-	/** Cost of a call that states no tokens. */
+	/** Cost of a call that does not state its tokens. */
 	readonly plainCost: number;
 	readonly countsTokens: boolean;
 };
--- a/packages/core/src/calls/types.ts
+++ b/packages/core/src/calls/types.ts
@@ -1,14 +1,14 @@
-/** The neutral call: what every listener turns a request into, and what all decisions look at. */
+/** Protocol-independent representation of a call. Listeners create it from a request, and all decisions are based on it. */
 import {type Deadline} from '@shallotpass/common/types.js';
 
 /**
- * What may be repeated: an `idempotent` call may run again, `once` and `stream_once` run at
- * most once for each id, a `resumable_stream` may go on at another backend server behind the
- * last event that arrived.
+ * Whether a call may run more than once. An `idempotent` call may be repeated, `once` and
+ * `stream_once` run at most once per id, and a `resumable_stream` may resume on another backend
+ * server after the last event that arrived.
  */
 export type Repeatability = 'idempotent' | 'once' | 'resumable_stream' | 'stream_once';
 
-/** A part of a prompt that other calls may share, with its length in tokens. */
+/** Part of a prompt that other calls may share, with its length in tokens. */
 export type PromptPart = {
 	readonly id: string;
 	readonly tokens: number;
@@ -16,19 +16,19 @@
 
 export type Call = {
 	readonly id: string;
-	/** Undefined where the route serves callers without a key. */
+	/** Undefined if the route serves callers without a key. */
 	readonly account: string | undefined;
 	readonly routeName: string;
 	readonly service: string;
 	readonly repeatability: Repeatability;
-	/** Moments on the steady clock, in milliseconds. */
+	/** `arrivedAt`, `targetAt` and `deadline` are times on the steady clock, in milliseconds. */
 	readonly arrivedAt: number;
 	readonly targetAt: Deadline;
-	/** The earlier of what the caller waits for and what the route allows. */
+	/** The earlier of the caller's deadline and the route's time limit. */
 	readonly deadline: Deadline;
 	/** 0 is the most urgent. */
 	readonly rank: number;
-	/** Backend servers that may run this call. */
+	/** Maximum number of backend servers that may run the call. */
 	readonly attemptsAllowed: number;
 	readonly promptTokens: number;
 	readonly outputTokens: number;
@@ -37,5 +37,5 @@
 
 export const isStream = (repeatability: Repeatability): boolean => repeatability === 'resumable_stream' || repeatability === 'stream_once';
 
-/** Whether a call that may have run can be sent to another backend server. */
+/** Whether a call that may have run already can be sent to another backend server. */
 export const mayRunAgain = (repeatability: Repeatability): boolean => repeatability === 'idempotent' || repeatability === 'resumable_stream';
