--- a/packages/core/src/placement/choose-backend.ts
+++ b/packages/core/src/placement/choose-backend.ts
@@ -1,86 +1,86 @@
 /**
- * Chooses the backend server that answers a call soonest, counting what the choice costs others.
+ * Chooses the backend server with the lowest cost for a call: the predicted wait plus penalties for risks.
  *
- * Prompts are read one chunk after another, so what a call waits for is the sum of the prompt
- * tokens before it; tokens that are cached there are not read again.
+ * Engines prefill prompts one chunk after another, so a call waits for all prompt tokens queued
+ * before it. Tokens that are cached on the engine need no prefill.
  */
 import {type BackendView} from './types.js';
 
-export type PlacedCall = {
+export type PlacementRequest = {
 	readonly rank: number;
 	readonly promptTokens: number;
 	readonly isStream: boolean;
-	/** Whether losing its backend server ends the call: it cannot go on elsewhere. */
+	/** Whether the call ends if its backend server is lost, because it cannot continue on another one. */
 	readonly isBoundToOne: boolean;
 };
 
 /**
- * Weight of prompt tokens that wait behind this call. They are passed by it, but share the
- * engine's steps with it; a chunk of theirs may be under way.
+ * Weight of queued prompt tokens with a lower priority than this call. The call overtakes them,
+ * but they share the engine's steps with it, and one of their chunks may be in progress.
  */
-const lessUrgentWeight = 0.25;
+const lowerPriorityWeight = 0.25;
 
-/** Milliseconds that a running answer adds to the reading of a prompt: each step of the engine produces its token too. */
-const msPerRunningAnswer = 0.6;
+/** Delay that each running answer adds to a prefill, because every engine step also generates a token for it. */
+const delayPerRunningAnswerMs = 0.6;
 
-/** Milliseconds that a failed try costs a caller: the try itself and a second one. */
+/** Time that a failed attempt costs a caller: the attempt itself and a second one. */
 const failurePenaltyMs = 600;
 
 /**
- * Milliseconds of wait that are accepted to keep a long answer off a backend server that may be
- * reclaimed at 2 s of notice, since it cannot go on elsewhere.
+ * Additional wait that is accepted to keep a pinned stream off a backend server that may be
+ * reclaimed at 2 s notice, because the stream cannot continue on another one.
  */
 const reclaimablePenaltyMs = 60;
 
 /**
- * Milliseconds of wait that are accepted to keep a call in its own zone: when the zone is cut off,
- * calls that are under way elsewhere are lost or come late, and no call finds out by waiting.
+ * Additional wait that is accepted to keep a call in its own zone. When a network partition cuts
+ * off the zone, its calls in other zones are lost or late, and they cannot detect this by waiting.
  */
-const remotePenaltyMs = 25;
+const otherZonePenaltyMs = 25;
 
 /**
- * A backend server that went dark keeps its connections and answers nothing; its calls time out
- * late, and until then nothing but its silence tells. Silence up to this many milliseconds is a
- * long prompt being read; each one beyond counts twice as wait.
+ * An unresponsive backend server may keep its connections open without answering, so silence is
+ * the only sign before its calls time out. A long prefill explains silence up to
+ * `maxNormalSilenceMs`; each millisecond beyond it counts as `silenceWeight` milliseconds of wait.
  */
-const usualSilenceMs = 200;
+const maxNormalSilenceMs = 200;
 const silenceWeight = 2;
 
-const countWaitingTokens = (pendingTokens: readonly number[], rank: number): number => {
+const countQueuedTokens = (pendingTokens: readonly number[], rank: number): number => {
 	let tokens = 0;
 	for (const [pendingRank, pending] of pendingTokens.entries()) {
-		tokens += pendingRank <= rank ? pending : pending * lessUrgentWeight;
+		tokens += pendingRank <= rank ? pending : pending * lowerPriorityWeight;
 	}
 
 	return tokens;
 };
 
-/** Milliseconds until the first event of a stream, were it sent there now. */
-export const predictFirstEvent = (view: BackendView, call: PlacedCall): number => {
-	const waiting = countWaitingTokens(view.own.pendingTokens, call.rank) + countWaitingTokens(view.others.pendingTokens, call.rank);
-	const reading = Math.max(0, call.promptTokens - view.cachedTokens);
+/** Predicts the time to the first event of a stream that is sent to the backend server now, in milliseconds. */
+export const predictFirstEvent = (view: BackendView, call: PlacementRequest): number => {
+	const queuedTokens = countQueuedTokens(view.own.pendingTokens, call.rank) + countQueuedTokens(view.others.pendingTokens, call.rank);
+	const uncachedTokens = Math.max(0, call.promptTokens - view.cachedTokens);
 	const running = view.own.running + view.others.running;
-	const waitForPlace = Math.max(0, running + 1 - view.places) * placeMs;
-	return ((waiting + reading) / view.pace.tokensPerMs) + view.pace.fixedMs + (running * msPerRunningAnswer) + waitForPlace;
+	const slotWaitMs = Math.max(0, running + 1 - view.places) * meanSlotReleaseMs;
+	return ((queuedTokens + uncachedTokens) / view.pace.tokensPerMs) + view.pace.fixedMs + (running * delayPerRunningAnswerMs) + slotWaitMs;
 };
 
-/** Milliseconds until one of the places of an engine becomes free when all are taken, in the mean. */
-const placeMs = 30;
+/** Mean time until a slot becomes free on an engine whose slots are all in use. */
+const meanSlotReleaseMs = 30;
 
-/** Milliseconds until the answer of a plain call. */
-export const predictPlain = (view: BackendView): number => {
+/** Predicts the time to the answer of a plain (non-streaming) call, in milliseconds. */
+export const predictPlainAnswer = (view: BackendView): number => {
 	const running = view.own.running + view.others.running;
-	const waiting = Math.max(0, running + 1 - view.places);
-	return view.plainMs * (1 + (waiting / view.places) + (running / (4 * view.places)));
+	const callsOverCapacity = Math.max(0, running + 1 - view.places);
+	return view.plainMs * (1 + (callsOverCapacity / view.places) + (running / (4 * view.places)));
 };
 
-export const predictWait = (view: BackendView, call: PlacedCall): number => call.isStream ? predictFirstEvent(view, call) : predictPlain(view);
+export const predictWait = (view: BackendView, call: PlacementRequest): number => call.isStream ? predictFirstEvent(view, call) : predictPlainAnswer(view);
 
-export const computeCost = (view: BackendView, call: PlacedCall): number => {
-	const atRisk = call.isBoundToOne && call.isStream && view.isReclaimable ? reclaimablePenaltyMs : 0;
-	const silence = Math.max(0, view.silentMs - usualSilenceMs) * silenceWeight;
-	const remote = view.isRemote ? remotePenaltyMs : 0;
-	return predictWait(view, call) + (view.failureShare * failurePenaltyMs) + atRisk + remote + silence + view.detourMs;
+export const computeCost = (view: BackendView, call: PlacementRequest): number => {
+	const reclaimPenaltyMs = call.isBoundToOne && call.isStream && view.isReclaimable ? reclaimablePenaltyMs : 0;
+	const silencePenaltyMs = Math.max(0, view.silentMs - maxNormalSilenceMs) * silenceWeight;
+	const zonePenaltyMs = view.isRemote ? otherZonePenaltyMs : 0;
+	return predictWait(view, call) + (view.failureShare * failurePenaltyMs) + reclaimPenaltyMs + zonePenaltyMs + silencePenaltyMs + view.detourMs;
 };
 
 export type Choice = {
@@ -89,8 +89,11 @@
 	readonly cost: number;
 };
 
-/** The cheapest of the views; undefined when none has room. Equal costs are told apart by `random`, so that daemons spread. */
-export const chooseBackend = (views: Iterable<BackendView>, call: PlacedCall, random: () => number): Choice | undefined => {
+/**
+ * Returns the backend server with the lowest cost, or undefined if all are at their connection
+ * limit. Random noise of up to 2% of the cost makes daemons choose differently among near-equal ones.
+ */
+export const chooseBackend = (views: Iterable<BackendView>, call: PlacementRequest, random: () => number): Choice | undefined => {
 	let best: Choice | undefined;
 	for (const view of views) {
 		if (view.isFull) {
--- a/packages/core/src/placement/engine-pace.ts
+++ b/packages/core/src/placement/engine-pace.ts
@@ -1,11 +1,11 @@
 /**
- * How fast model engines give the first event of an answer, learned from what answers took. A
- * daemon of many sees few answers of one engine, so what it saw is told to the others: tokens and
- * the time in which they were read, whose sums over daemons have the speed as their ratio.
+ * Estimates how fast model engines produce the first event of an answer, from measured answers.
+ * Each of many daemons sees few answers of an engine, so daemons share their prefilled tokens and
+ * prefill time; the ratio of the sums over all daemons is the speed.
  */
 import {learnRate} from './learn-rate.js';
 
-/** Prompt tokens that were read, and the milliseconds that it took; both fade. */
+/** Prefilled prompt tokens and the milliseconds that the prefill took. Records of both decay over time. */
 export type Reading = {
 	readonly tokens: number;
 	readonly ms: number;
@@ -14,82 +14,87 @@
 export const noReading: Reading = {tokens: 0, ms: 0};
 
 export type ReadingRecord = Reading & {
-	/** Moment of the figures, on the steady clock in milliseconds. */
+	/** Time to which the values are decayed, on the steady clock in milliseconds. */
 	readonly at: number;
 };
 
 export const emptyRecord: ReadingRecord = {...noReading, at: 0};
 
-/** Time in which what was seen fades to a third, in milliseconds: an engine that turns slow is known as such within seconds. */
-const memoryMs = 5000;
+/** Time constant of the exponential decay. It is short, so that an engine that becomes slow is detected within seconds. */
+const decayTimeMs = 5000;
 
+/** Decays a record to the given time. */
 export const readRecord = ({tokens, ms, at}: ReadingRecord, now: number): Reading => {
-	const left = Math.exp(-Math.max(0, now - at) / memoryMs);
-	return {tokens: tokens * left, ms: ms * left};
+	const decayFactor = Math.exp(-Math.max(0, now - at) / decayTimeMs);
+	return {tokens: tokens * decayFactor, ms: ms * decayFactor};
 };
 
-export const noteReading = (record: ReadingRecord, reading: Reading, now: number): ReadingRecord => {
-	const before = readRecord(record, now);
-	return {tokens: before.tokens + reading.tokens, ms: before.ms + reading.ms, at: now};
+/** Adds a sample to a record. */
+export const noteReading = (record: ReadingRecord, sample: Reading, now: number): ReadingRecord => {
+	const decayed = readRecord(record, now);
+	return {tokens: decayed.tokens + sample.tokens, ms: decayed.ms + sample.ms, at: now};
 };
 
-/** What answers of a service show in the mean. */
+/** Latency model of a service: mean prefill speed and fixed latency. */
 export type ServicePace = {
-	/** Prompt tokens read a millisecond. */
+	/** Prompt tokens prefilled per millisecond. */
 	readonly tokensPerMs: number;
-	/** Milliseconds to a first event beside the reading of prompts. */
+	/** Time to the first event without the prefill, in milliseconds. */
 	readonly fixedMs: number;
 };
 
-/** Taken until answers of the service say better. */
+/** Used until answers of the service have been measured. */
 export const firstPace: ServicePace = {tokensPerMs: 45, fixedMs: 50};
 
-export type FirstEvent = {
-	/** Prompt tokens that were read until it: those of the call and of calls before it. */
+export type FirstEventSample = {
+	/** Prompt tokens prefilled before the event: those of the call and of calls queued before it. */
 	readonly workTokens: number;
 	readonly tookMs: number;
 };
 
-/** A first event tells the rest when reading took less than this part of it. */
-const restFactor = 0.25;
+/** A first event is a sample of the fixed latency if its expected prefill time is at most this share of the fixed latency. */
+const maxPrefillShare = 0.25;
 
-/** One answer counts as this many times slower or faster than its service at most: what took longer was no reading. */
-const mostTimesSlower = 8;
+/** Bounds how much slower or faster than its service one answer may count: any time beyond that was not spent on prefill. */
+const maxDeviationFactor = 8;
 
-/** What a first event says of reading; undefined when too little was read to tell. */
-export const toReading = ({workTokens, tookMs}: FirstEvent, pace: ServicePace): Reading | undefined => {
-	const expectedMs = workTokens / pace.tokensPerMs;
-	if (expectedMs < pace.fixedMs) {
+/** Returns the prefill sample of a first event, or undefined if too few tokens were prefilled to estimate the speed. */
+export const toReading = ({workTokens, tookMs}: FirstEventSample, model: ServicePace): Reading | undefined => {
+	const expectedMs = workTokens / model.tokensPerMs;
+	if (expectedMs < model.fixedMs) {
 		return undefined;
 	}
 
-	const ms = Math.min(expectedMs * mostTimesSlower, Math.max(expectedMs / mostTimesSlower, tookMs - pace.fixedMs));
+	const ms = Math.min(expectedMs * maxDeviationFactor, Math.max(expectedMs / maxDeviationFactor, tookMs - model.fixedMs));
 	return {tokens: workTokens, ms};
 };
 
-/** Milliseconds of reading at the first guess that a service is taken to have done, and at its mean that each of its engines is. */
+/**
+ * Weights of the priors, as milliseconds of prefill. A service starts from the default speed, and
+ * each of its engines starts from the speed of the service.
+ */
 const servicePriorMs = 300;
 const enginePriorMs = 100;
 
-const addPrior = (readings: Iterable<Reading>, tokensPerMs: number, priorMs: number): number => {
+const computeSpeedWithPrior = (samples: Iterable<Reading>, tokensPerMs: number, priorMs: number): number => {
 	let tokens = tokensPerMs * priorMs;
 	let ms = priorMs;
-	for (const reading of readings) {
-		tokens += reading.tokens;
-		ms += reading.ms;
+	for (const sample of samples) {
+		tokens += sample.tokens;
+		ms += sample.ms;
 	}
 
 	return tokens / ms;
 };
 
-/** Prompt tokens that engines of a service read a millisecond, by what all daemons saw of all of them. */
-export const computeServiceSpeed = (readings: Iterable<Reading>): number => addPrior(readings, firstPace.tokensPerMs, servicePriorMs);
+/** Computes the prompt tokens that engines of a service prefill per millisecond, from the samples of all daemons and engines. */
+export const computeServiceSpeed = (samples: Iterable<Reading>): number => computeSpeedWithPrior(samples, firstPace.tokensPerMs, servicePriorMs);
 
-/** Prompt tokens that an engine reads a millisecond, by what all daemons saw of it and of its service. */
-export const computeEngineSpeed = (readings: Iterable<Reading>, pace: ServicePace): number => addPrior(readings, pace.tokensPerMs, enginePriorMs);
+/** Computes the prompt tokens that an engine prefills per millisecond, from all daemons' samples of it and the model of its service. */
+export const computeEngineSpeed = (samples: Iterable<Reading>, serviceModel: ServicePace): number => computeSpeedWithPrior(samples, serviceModel.tokensPerMs, enginePriorMs);
 
-/** Takes what an answer with little to read shows of the rest. */
-export const learnFixed = (pace: ServicePace, {workTokens, tookMs}: FirstEvent): ServicePace => {
-	const expectedMs = workTokens / pace.tokensPerMs;
-	return expectedMs <= pace.fixedMs * restFactor ? {...pace, fixedMs: learnRate(pace.fixedMs, Math.max(1, tookMs - expectedMs))} : pace;
+/** Updates the fixed latency from an answer with a short prefill; ignores other answers. */
+export const learnFixed = (model: ServicePace, {workTokens, tookMs}: FirstEventSample): ServicePace => {
+	const expectedMs = workTokens / model.tokensPerMs;
+	return expectedMs <= model.fixedMs * maxPrefillShare ? {...model, fixedMs: learnRate(model.fixedMs, Math.max(1, tookMs - expectedMs))} : model;
 };
--- a/packages/core/src/placement/learn-rate.ts
+++ b/packages/core/src/placement/learn-rate.ts
@@ -1,18 +1,19 @@
-/** Learns how fast a backend server works from what its answers took. */
+/** Exponential moving averages of a backend server's answer times and failures. */
 
-/** Weight of a new sample; the mean follows a change within about ten answers. */
+/** Weight of a new sample. The mean follows a change within about ten answers. */
 const sampleWeight = 0.15;
 
-/** Samples beyond these factors of the mean count as the factor: a stalled engine is judged by its failures, not by its speed. */
-const leastFactor = 0.25;
-const greatestFactor = 4;
+/** Samples are clamped to these multiples of the mean: a stalled engine is detected by its failures, not by its speed. */
+const minSampleFactor = 0.25;
+const maxSampleFactor = 4;
 
+/** Updates a moving mean with a sample. */
 export const learnRate = (mean: number, sample: number): number => {
-	const bounded = Math.min(mean * greatestFactor, Math.max(mean * leastFactor, sample));
+	const bounded = Math.min(mean * maxSampleFactor, Math.max(mean * minSampleFactor, sample));
 	return mean + (sampleWeight * (bounded - mean));
 };
 
-/** Weight of one result in the share of failures. */
+/** Weight of one result in the failure rate. */
 const failureWeight = 0.1;
 
-export const learnFailure = (share: number, hasFailed: boolean): number => share + (failureWeight * ((hasFailed ? 1 : 0) - share));
+export const learnFailure = (failureRate: number, hasFailed: boolean): number => failureRate + (failureWeight * ((hasFailed ? 1 : 0) - failureRate));
--- a/packages/core/src/placement/prefix-memory.ts
+++ b/packages/core/src/placement/prefix-memory.ts
@@ -1,21 +1,22 @@
-/** Which prompt parts a backend server is believed to hold, from the calls that were sent there. */
+/** Prompt parts that a backend server probably has cached, based on the calls that were sent to it. */
 
 /**
- * Parts remembered for each backend server; the least recently used are forgotten first. An
- * engine's memory of 640,000 tokens holds about 100 parts of the usual 5,000 tokens, and
- * many more short ones.
+ * Maximum parts recorded per backend server; the least recently used are evicted first. An
+ * engine's cache of 640,000 tokens holds about 100 parts of the usual 5,000 tokens, and many more
+ * short ones.
  */
-const mostParts = 400;
+const maxParts = 400;
 
+/** Ids of prompt parts with the time of their last use, least recently used first. */
 export type PrefixMemory = Map<string, number>;
 
-export const notePart = (memory: PrefixMemory, partId: string, now: number): void => {
-	memory.delete(partId);
-	memory.set(partId, now);
-	if (memory.size > mostParts) {
-		const oldest = memory.keys().next().value;
+export const notePart = (knownParts: PrefixMemory, partId: string, now: number): void => {
+	knownParts.delete(partId);
+	knownParts.set(partId, now);
+	if (knownParts.size > maxParts) {
+		const oldest = knownParts.keys().next().value;
 		if (oldest !== undefined) {
-			memory.delete(oldest);
+			knownParts.delete(oldest);
 		}
 	}
 };
--- a/packages/core/src/placement/prompt-homes.ts
+++ b/packages/core/src/placement/prompt-homes.ts
@@ -1,46 +1,49 @@
-/** Where prompts belong: daemons agree without a message on the backend server that reads a shared part first. */
+/** Prompt affinity: all daemons prefer the same backend server for a shared prompt part without exchanging messages. */
 import {type Call, type PromptPart} from '../calls/types.js';
 import {hashText} from '../routing/rank-by-rendezvous.js';
 import {computeDetour} from './spread-choices.js';
 
-/** Prompts longer than this share parts worth finding; shorter ones are read in a few milliseconds. */
-const leastSharedTokens = 64;
+/** Minimum length of a shared part that determines the affinity; the prefill of a shorter one takes only a few milliseconds. */
+const minSharedTokens = 64;
 
-/** What decides the order in which a call prefers backend servers: the last part that others may share, or the call itself. */
+/**
+ * Returns the hash that determines in which order a call prefers backend servers: that of the last
+ * part that other calls may share or, if that part is too short, that of the call id.
+ */
 export const getKeyHash = ({id, promptParts}: Pick<Call, 'id' | 'promptParts'>): number => {
-	// The last part belongs to the call itself; parts that begin all prompts are everywhere soon.
-	const deciding = promptParts.at(-2);
-	return hashText(deciding !== undefined && deciding.tokens >= leastSharedTokens ? deciding.id : id);
+	// The last part is specific to the call. Parts that begin every prompt are soon cached on every backend server.
+	const sharedPart = promptParts.at(-2);
+	return hashText(sharedPart !== undefined && sharedPart.tokens >= minSharedTokens ? sharedPart.id : id);
 };
 
-/** The one that comes first in a call's order. */
+/** Returns the backend server that is first in the order of a call. */
 export const findHome = <Backend extends {readonly incarnationHash: number}>(keyHash: number, backends: readonly Backend[]): Backend | undefined => {
-	let home: Backend | undefined;
-	let leastDetour = Infinity;
+	let preferred: Backend | undefined;
+	let lowestPosition = Infinity;
 	for (const backend of backends) {
-		const detour = computeDetour(keyHash, backend.incarnationHash);
-		if (detour < leastDetour) {
-			home = backend;
-			leastDetour = detour;
+		const position = computeDetour(keyHash, backend.incarnationHash);
+		if (position < lowestPosition) {
+			preferred = backend;
+			lowestPosition = position;
 		}
 	}
 
-	return home;
+	return preferred;
 };
 
-export type CacheBelief = {
-	/** Whether the part was sent there. */
+export type CacheEstimate = {
+	/** Whether the part was sent to the backend server. */
 	readonly has: (partId: string) => boolean;
-	/** Whether calls with these shared parts are sent there first, by whatever daemon. */
+	/** Whether all daemons prefer the backend server for calls with these shared parts. */
 	readonly isHome: boolean;
 };
 
-/** Tokens of a prompt that a backend server is believed to hold: a part counts only when all before it do. */
-export const countCachedTokens = (parts: readonly PromptPart[], {has, isHome}: CacheBelief): number => {
+/** Counts the prompt tokens that a backend server probably has cached. A part counts only if all parts before it do. */
+export const countCachedTokens = (parts: readonly PromptPart[], {has: wasSent, isHome: isPreferred}: CacheEstimate): number => {
 	let tokens = 0;
 	for (const [index, part] of parts.entries()) {
 		const isShared = index < parts.length - 1;
-		if (!has(part.id) && !(isHome && isShared)) {
+		if (!wasSent(part.id) && !(isPreferred && isShared)) {
 			break;
 		}
 
--- a/packages/core/src/placement/spread-choices.ts
+++ b/packages/core/src/placement/spread-choices.ts
@@ -1,26 +1,27 @@
 /**
- * Keeps daemons apart that see the same old load: were all to choose the backend server that had
- * least, its queue would be full before they hear of each other. Each call prefers backend servers in
- * an order of its own, by as many milliseconds as the unseen work is worth; calls that share a
- * prompt have the same order, and so find it cached.
+ * Prevents herding among daemons that see the same outdated load: if all of them chose the least
+ * loaded backend server, its queue would be full before they learned of each other's calls. Each
+ * call prefers backend servers in its own order, weighted by the work that is not reported yet.
+ * Calls that share a prompt have the same order and therefore find the prompt cached.
  */
 import {weighMember} from '../routing/rank-by-rendezvous.js';
 
-export type UnseenWork = {
-	/** Prompt tokens a second that callers send to the other daemons. */
+export type UnreportedWork = {
+	/** Prompt tokens per second that callers send to the other daemons. */
 	readonly tokensPerSecond: number;
-	/** Time until this daemon hears of them, in milliseconds. */
+	/** Time until gossip reports them to this daemon, in milliseconds. */
 	readonly gossipMs: number;
-	/** Backend servers that they are sent to, and the tokens that one of them reads a millisecond. */
+	/** Number of backend servers that they are sent to. */
 	readonly backends: number;
+	/** Prompt tokens that one backend server prefills per millisecond. */
 	readonly tokensPerMs: number;
 };
 
-/** Milliseconds of reading that the others send to a backend server in the mean before this daemon hears of it. */
-export const computeUnseenMs = ({tokensPerSecond, gossipMs, backends, tokensPerMs}: UnseenWork): number =>
-	tokensPerSecond * gossipMs / 1000 / tokensPerMs / Math.max(1, backends);
+/** Computes the mean prefill time that other daemons send to a backend server before this daemon learns of it, in milliseconds. */
+export const computeUnseenMs = ({tokensPerSecond, gossipMs: gossipDelayMs, backends, tokensPerMs}: UnreportedWork): number =>
+	tokensPerSecond * gossipDelayMs / 1000 / tokensPerMs / Math.max(1, backends);
 
-const signedRange = 2 ** 32;
+const hashRange = 2 ** 32;
 
-/** Where a backend server stands in a call's order, from 0 for the first to 1. */
-export const computeDetour = (keyHash: number, backendHash: number): number => 0.5 - (weighMember(keyHash, backendHash) / signedRange);
+/** Returns the position of a backend server in the order of a call, from 0 (first) to 1 (last). */
+export const computeDetour = (keyHash: number, backendHash: number): number => 0.5 - (weighMember(keyHash, backendHash) / hashRange);
--- a/packages/core/src/placement/types.ts
+++ b/packages/core/src/placement/types.ts
@@ -1,35 +1,35 @@
-/** What a daemon believes of a backend server when it places a call. */
+/** Estimated state of a backend server that a daemon uses to place a call. */
 import {type ServicePace} from './engine-pace.js';
 
 export type Load = {
-	/** Calls that run or wait there. */
+	/** Calls that are running or queued. */
 	readonly running: number;
-	/** Prompt tokens that were sent there and not answered by a first event yet, by rank of urgency. */
+	/** Prompt tokens of calls that have not received a first event yet, indexed by rank. */
 	readonly pendingTokens: readonly number[];
 };
 
 export type BackendView = {
 	readonly id: string;
-	/** Whether it stands in another availability zone than this daemon. */
+	/** Whether the backend server is in a different availability zone than this daemon. */
 	readonly isRemote: boolean;
 	readonly places: number;
 	readonly isReclaimable: boolean;
-	/** Learned from answers. */
+	/** Prefill speed and fixed latency, estimated from measured answers. */
 	readonly pace: ServicePace;
-	/** Milliseconds that a plain call takes there, learned from answers. */
+	/** Duration of a plain (non-streaming) call, estimated from measured answers, in milliseconds. */
 	readonly plainMs: number;
-	/** Load by this daemon, exact. */
+	/** Exact load from this daemon. */
 	readonly own: Load;
-	/** Load by the other daemons as they last told. */
+	/** Load from the other daemons according to their last reports. */
 	readonly others: Load;
-	/** Share of recent calls that the backend server failed, 0 to 1. */
+	/** Fraction of recent calls that failed, from 0 to 1. */
 	readonly failureShare: number;
-	/** Whether this daemon holds as many connections there as it may. */
+	/** Whether this daemon has reached its connection limit for the backend server. */
 	readonly isFull: boolean;
-	/** Tokens of the call's prompt that are believed to be cached there. */
+	/** Tokens of the call's prompt that are probably cached. */
 	readonly cachedTokens: number;
-	/** Milliseconds by which the call prefers others, so that calls spread. */
+	/** Penalty from the call's own order of backend servers, which spreads calls, in milliseconds. */
 	readonly detourMs: number;
-	/** Milliseconds in which calls wait there and nothing at all was read from it. */
+	/** Time for which calls have been waiting without any data from the backend server, in milliseconds. */
 	readonly silentMs: number;
 };
