--- a/packages/core/src/quotas/account-bucket.ts
+++ b/packages/core/src/quotas/account-bucket.ts
@@ -1,52 +1,52 @@
-/** What a daemon may spend for one client account at once: its part of the room over all daemons, filled as time goes on. */
-import {type Allotment} from './account-room.js';
+/** Token bucket for one client account on one daemon. It refills with the daemon's share of the account's remaining budget. */
+import {type BucketRefill} from './account-room.js';
 
 export type AccountBucket = {
 	/** Cost units that may be spent. */
 	readonly level: number;
-	/** Moment of the level, on the steady clock in milliseconds. */
+	/** Time of the level, on the steady clock in milliseconds. */
 	readonly at: number;
-	/** Cost units asked a second, smoothed. */
+	/** Requested cost units per second, smoothed. */
 	readonly demand: number;
 };
 
-/** Time in which the memory of demand falls to a third, in milliseconds. */
-const demandMemoryMs = 1000;
+/** Time constant of the exponential decay of the demand. */
+const demandDecayMs = 1000;
 
 export const openBucket = (now: number): AccountBucket => ({level: 0, at: now, demand: 0});
 
-/** Demand as of now, for telling the other daemons. */
-export const readDemand = (bucket: AccountBucket, now: number): number => bucket.demand * Math.exp(-Math.max(0, now - bucket.at) / demandMemoryMs);
+/** Returns the demand decayed to the given time, for reports to the other daemons. */
+export const readDemand = (bucket: AccountBucket, now: number): number => bucket.demand * Math.exp(-Math.max(0, now - bucket.at) / demandDecayMs);
 
-/** Counts the cost as asked, whether it is admitted or not. */
+/** Adds a requested cost to the demand, whether or not the call is admitted. */
 export const noteDemand = (bucket: AccountBucket, cost: number, now: number): AccountBucket => ({
-	...bucket, demand: readDemand(bucket, now) + (cost * 1000 / demandMemoryMs),
+	...bucket, demand: readDemand(bucket, now) + (cost * 1000 / demandDecayMs),
 });
 
-export type BucketCall = {
+export type BucketRequest = {
 	readonly cost: number;
 	/** On the steady clock, in milliseconds. */
 	readonly now: number;
-	/** The account is known to be far below its limit, and the bucket only keeps count. */
+	/** Whether the account is far below its limit, so that the call is admitted regardless of the level. */
 	readonly isOpen: boolean;
-	readonly allotment: Allotment;
+	readonly allotment: BucketRefill;
 	readonly random: () => number;
 };
 
-export type BucketVerdict = {
+export type BucketDecision = {
 	readonly bucket: AccountBucket;
 	readonly isAdmitted: boolean;
 };
 
 /**
- * Takes the cost of a call. One that costs more than the bucket holds is admitted with the chance
- * of their ratio, and the bucket is empty either way: what is admitted is the level in the mean.
- * Were each daemon to overdraw by one call, 90 daemons with long prompts would exceed an account's
- * limit by a million tokens.
+ * Deducts the cost of a call. A call that costs more than the level is admitted with the
+ * probability `level / cost`, and the bucket is emptied either way, so the mean admitted cost
+ * equals the level. If each daemon could overdraw its bucket by one call instead, 90 daemons with
+ * long prompts would exceed the limit of an account by a million tokens.
  */
-export const takeFromBucket = (bucket: AccountBucket, {cost, now, isOpen, allotment, random}: BucketCall): BucketVerdict => {
-	const filled = bucket.level + (allotment.perMs * Math.max(0, now - bucket.at));
-	const level = Math.min(allotment.most, filled);
-	const isAdmitted = isOpen || level >= cost || (level > 0 && random() < level / cost);
+export const takeFromBucket = (bucket: AccountBucket, {cost, now, isOpen: isUnrestricted, allotment: refill, random}: BucketRequest): BucketDecision => {
+	const refilledLevel = bucket.level + (refill.perMs * Math.max(0, now - bucket.at));
+	const level = Math.min(refill.most, refilledLevel);
+	const isAdmitted = isUnrestricted || level >= cost || (level > 0 && random() < level / cost);
 	return {bucket: {level: Math.max(0, level - cost), at: now, demand: readDemand(bucket, now)}, isAdmitted};
 };
--- a/packages/core/src/quotas/account-room.ts
+++ b/packages/core/src/quotas/account-room.ts
@@ -1,92 +1,100 @@
 /**
- * Limits of a client account over all daemons without a central counter. Each daemon tells the
- * others what the account spent at it, several times a second, and may spend its share of the
- * room that it sees; the shares follow what callers ask of each daemon and sum to 1. What the
- * others spend before it is heard of is small beside the room, so that the sum stays below the
- * ceiling whatever callers ask.
+ * Enforces the limits of a client account across all daemons without a central counter. Each
+ * daemon reports several times a second what the account spent on it, and may spend its share of
+ * the remaining budget. The shares follow the demand on each daemon and sum to 1. Unreported
+ * spending is small compared to the remaining budget, so the total stays below the ceiling
+ * regardless of demand.
  */
 
-/** What a daemon knows of one account's spending when a call asks for a part of it. Costs are in cost units. */
+/** Spending of one account as known to a daemon when it decides on a call. Costs are in cost units. */
 export type SpendingView = {
-	/** What may be given out within the window, over all daemons. */
+	/** Maximum that all daemons together may grant within the window. */
 	readonly usable: number;
 	/** Length of the window, in milliseconds. */
 	readonly windowMs: number;
-	/** What was spent within the window: at all daemons as far as they told, and before those that run now were started. */
+	/** Spent within the window, as reported by all daemons and including what was spent before the running daemons started. */
 	readonly spent: number;
-	/** Cost units asked a second of this daemon, and of the others as they last told. */
+	/** Cost units per second requested from this daemon. */
 	readonly ownDemand: number;
+	/** Cost units per second requested from each other daemon, according to its last report. */
 	readonly otherDemands: readonly number[];
-	/** Daemons that are heard, this one included. */
+	/** Number of daemons whose reports arrive, including this one. */
 	readonly heardDaemons: number;
-	/** Daemons that ran lately and are not heard now: they may spend unseen. */
+	/** Number of daemons that ran recently but whose reports no longer arrive. They may spend without this daemon's knowledge. */
 	readonly silentDaemons: number;
-	/** How long it takes until what a daemon spends is seen by all others, in milliseconds. */
+	/** Time until all other daemons know what a daemon has spent, in milliseconds. */
 	readonly gossipMs: number;
 };
 
-/** A daemon that nobody has asked yet keeps this part of an even share, so that its first callers are served. */
-const leastShareOfEven = 0.25;
+/** Minimum share of a daemon as a fraction of an equal share, so that a daemon without demand can serve its first callers. */
+const minShareFactor = 0.25;
 
-/** Part of the room that all daemons together may spend before they hear of each other; at 1 they would overrun it by a quarter. */
-const spentBeforeGossip = 0.5;
+/**
+ * Part of the remaining budget that all daemons together may spend within one gossip delay. With a
+ * value of 1 they would exceed the budget by a quarter.
+ */
+const spendablePartPerGossipDelay = 0.5;
 
-/** Part of the room up to which calls need no allotment. */
-const openPart = 0.6;
+/** Part of the remaining budget up to which calls are admitted without their bucket. */
+const unrestrictedPart = 0.6;
 
-/** What others are asked for may have risen since they told. */
-const unseenWeight = 2;
+/** Weight of the other daemons' unreported spending, because their demand may have grown since their last report. */
+const unreportedWeight = 2;
 
-/** Part of the room that all daemons together may have ready for a burst. */
-const readyPart = 0.25;
+/** Part of the remaining budget that the buckets of all daemons together may hold for bursts. */
+const burstPart = 0.25;
 
 const sum = (amounts: readonly number[]): number => amounts.reduce((total, amount) => total + amount, 0);
 
 export type ShareInput = Pick<SpendingView, 'ownDemand' | 'otherDemands'> & {
-	/** Daemons that are believed to run, this one included. */
+	/** Number of daemons that are assumed to run, including this one. */
 	readonly daemons: number;
 };
 
+/** Computes this daemon's share of the remaining budget. */
 export const computeShare = (input: ShareInput): number => {
-	const floor = leastShareOfEven / Math.max(1, input.daemons);
+	const floor = minShareFactor / Math.max(1, input.daemons);
 	const total = input.ownDemand + sum(input.otherDemands);
 	const measured = total > 0 ? input.ownDemand / total : 1 / Math.max(1, input.daemons);
-	// The floors of all daemons are taken off the measured part, so that the sum stays 1.
-	return floor + (measured * (1 - leastShareOfEven));
+	// The measured part is reduced by the minimum shares of all daemons, so that the shares sum to 1.
+	return floor + (measured * (1 - minShareFactor));
 };
 
-/** Cost units that all daemons together may still spend; below 0 when more was spent. Those that are heard take their part of it while others are silent. */
-export const computeRoom = ({usable, spent, heardDaemons, silentDaemons}: SpendingView): number => {
-	const heardPart = heardDaemons / (heardDaemons + silentDaemons);
-	return (usable * heardPart) - spent;
+/**
+ * Computes the cost units that the reporting daemons may still spend, negative if the budget is
+ * exceeded. While other daemons are silent, their part of the budget is left to them.
+ */
+export const computeRoom = ({usable, spent, heardDaemons: reportingDaemons, silentDaemons}: SpendingView): number => {
+	const reportingPart = reportingDaemons / (reportingDaemons + silentDaemons);
+	return (usable * reportingPart) - spent;
 };
 
-/** Whether the room holds the call and all that others may be asked for before this daemon hears of it. */
+/** Whether the remaining budget covers the call and the spending of other daemons that is not reported yet. */
 export const hasRoom = (view: SpendingView, cost: number): boolean => {
-	const unseen = sum(view.otherDemands) * view.gossipMs / 1000;
-	return cost + (unseen * unseenWeight) <= computeRoom(view) * openPart;
+	const unreported = sum(view.otherDemands) * view.gossipMs / 1000;
+	return cost + (unreported * unreportedWeight) <= computeRoom(view) * unrestrictedPart;
 };
 
-export type Allotment = {
-	/** Cost units that this daemon may have ready at most. */
+export type BucketRefill = {
+	/** Capacity of this daemon's bucket, in cost units. */
 	readonly most: number;
-	/** Cost units that it gets a millisecond. */
+	/** Cost units added to the bucket per millisecond. */
 	readonly perMs: number;
 };
 
-/** This daemon's part of the room. */
-export const computeAllotment = (view: SpendingView): Allotment => {
-	const room = Math.max(0, computeRoom(view));
+/** Computes the capacity and refill rate of this daemon's bucket from its share of the remaining budget. */
+export const computeAllotment = (view: SpendingView): BucketRefill => {
+	const remaining = Math.max(0, computeRoom(view));
 	const share = computeShare({...view, daemons: view.heardDaemons});
-	return {most: room * share * readyPart, perMs: room * share * spentBeforeGossip / view.gossipMs};
+	return {most: remaining * share * burstPart, perMs: remaining * share * spendablePartPerGossipDelay / view.gossipMs};
 };
 
 /**
- * Milliseconds until a call of this cost is likely to be admitted: until enough of what was spent
- * has left the window for it and for what is asked beside it.
+ * Estimates the time until a call of this cost is likely to be admitted, in milliseconds: until
+ * enough spending has left the window for the call and for the other demand.
  */
 export const estimateWait = (view: SpendingView, cost: number): number => {
 	const share = computeShare({...view, daemons: view.heardDaemons});
-	const missing = Math.max(0, -computeRoom(view)) + (cost / share);
-	return Math.min(view.windowMs, missing * view.windowMs / Math.max(1, view.spent));
+	const shortfall = Math.max(0, -computeRoom(view)) + (cost / share);
+	return Math.min(view.windowMs, shortfall * view.windowMs / Math.max(1, view.spent));
 };
--- a/packages/core/src/quotas/compute-ceiling.ts
+++ b/packages/core/src/quotas/compute-ceiling.ts
@@ -1,30 +1,30 @@
-/** What a client account may spend within the window of the limits, over all daemons. */
+/** Maximum cost that a client account may spend within the quota window, across all daemons. */
 import {type AccountLimit} from '../calls/serving-configuration.js';
 
 export type LimitBounds = {
 	readonly quotaWindowMs: number;
-	/** Part by which a limit may be exceeded. */
+	/** Fraction by which a limit may be exceeded. */
 	readonly quotaOvershoot: number;
-	/** Cost units by which a limit of tokens may be exceeded besides. */
+	/** Cost units by which a token limit may be exceeded in addition. */
 	readonly quotaSlack: number;
 };
 
-/** Part of the ceiling that daemons give out: the rest covers calls that are drawn, and reports that are lost. */
-const usedPart = 0.95;
+/** Part of the ceiling that daemons grant. The rest covers calls that are admitted at random and reports that are lost. */
+const usablePart = 0.95;
 
-/** The same for small calls: one account's long prompts must not keep out its calls that cost next to nothing. */
-const usedBySmallPart = 0.98;
+/** The same for small calls, so that the long prompts of an account do not block its cheap calls. */
+const usablePartForSmallCalls = 0.98;
 
-/** Calls up to this part of the ceiling are small. */
+/** Calls that cost at most this part of the ceiling count as small. */
 const smallCallPart = 1 / 2000;
 
-/** What is left to more urgent calls by each rank below the most urgent one, as a part of the ceiling. */
-const leftToUrgentPart = 0.05;
+/** Part of the ceiling that each rank below the most urgent one reserves for more urgent calls. */
+const reservedPartPerRank = 0.05;
 
-/** Ranks that leave more than the rank before them. */
-const mostRanks = 3;
+/** Number of ranks up to which the reserve grows. */
+const maxReservingRanks = 3;
 
-/** What must not be exceeded. */
+/** Computes the cost that the account must not exceed within the window. */
 export const computeCeiling = (limit: AccountLimit, bounds: LimitBounds): number => {
 	const allowance = (limit.perSecond * bounds.quotaWindowMs / 1000) + limit.burst;
 	return (allowance * (1 + bounds.quotaOvershoot)) + (limit.countsTokens ? bounds.quotaSlack : 0);
@@ -36,15 +36,18 @@
 	readonly rank: number;
 };
 
-/** What daemons give out at most to calls like this one: an account that asks more than it may loses its least urgent calls first. */
+/**
+ * Computes the maximum that daemons grant for a call of this cost and rank. When an account
+ * exceeds its limit, its least urgent calls are rejected first.
+ */
 export const computeUsable = (limit: AccountLimit, bounds: LimitBounds, {cost, rank}: LimitedCall): number => {
 	const ceiling = computeCeiling(limit, bounds);
 	if (cost <= ceiling * smallCallPart) {
-		return ceiling * usedBySmallPart;
+		return ceiling * usablePartForSmallCalls;
 	}
 
-	return ceiling * (usedPart - (Math.min(rank, mostRanks) * leftToUrgentPart));
+	return ceiling * (usablePart - (Math.min(rank, maxReservingRanks) * reservedPartPerRank));
 };
 
-/** What daemons give out at most to any call. */
+/** Computes the maximum that daemons grant for any call. */
 export const computeMostUsable = (limit: AccountLimit, bounds: LimitBounds): number => computeUsable(limit, bounds, {cost: Infinity, rank: 0});
--- a/packages/core/src/quotas/quotas.test.ts
+++ b/packages/core/src/quotas/quotas.test.ts
@@ -18,7 +18,7 @@
 const limit = {
 	perSecond: 100_000, burst: 300_000, plainCost: 200, countsTokens: true,
 };
-/** What the account may spend within a window by its limit. */
+/** Cost units that the limit allows the account within a window. */
 const allowance = 1_100_000;
 const ceiling = computeCeiling(limit, bounds);
 
@@ -26,7 +26,7 @@
 	usable: 95, windowMs: 8000, spent: 40, ownDemand: 1, otherDemands: [], heardDaemons: 9, silentDaemons: 0, gossipMs: 400,
 };
 
-test('the shares of all daemons sum to 1 however callers are spread', () => {
+test('the shares of all daemons sum to 1 for any distribution of callers', () => {
 	fc.assert(fc.property(fc.array(fc.nat(1000), {minLength: 1, maxLength: 90}), demands => {
 		const shares = demands.map((own, index) => computeShare({ownDemand: own, otherDemands: demands.filter((_demand, other) => other !== index), daemons: demands.length}));
 		const sum = shares.reduce((total, share) => total + share, 0);
@@ -34,9 +34,9 @@
 	}), {seed: 1});
 });
 
-const sumMostInWindow = (calls: readonly PlayedCall[]): number => {
+const computeMaxInWindow = (calls: readonly PlayedCall[]): number => {
 	const admitted = calls.filter(call => call.isAdmitted);
-	let most = 0;
+	let maxSpent = 0;
 	let sum = 0;
 	let first = 0;
 	for (const call of admitted) {
@@ -46,32 +46,32 @@
 			first++;
 		}
 
-		most = Math.max(most, sum);
+		maxSpent = Math.max(maxSpent, sum);
 	}
 
-	return most;
+	return maxSpent;
 };
 
 const sumAdmitted = (calls: readonly PlayedCall[], from: number, to: number): number =>
 	calls.reduce((sum, {at, cost, isAdmitted}) => sum + (isAdmitted && at >= from && at < to ? cost : 0), 0);
 
-const nine: Omit<LimitPlay, 'random' | 'getAsked'> = {
+const nineDaemons: Omit<LimitPlay, 'random' | 'getAsked'> = {
 	daemons: 9, limit, bounds, tellEveryMs: 300, gossipMs: 400, meanCost: 4000, lengthMs: 30_000,
 };
 
 const seeds = Array.from({length: 10}, (_seed, index) => index + 1);
 
-test('guards against limits that are overrun, or not given out, when an account asks many times its limit', () => {
+test('grants most of the limit without exceeding the ceiling when an account requests many times its limit', () => {
 	for (const daemons of [3, 9, 90]) {
-		const through = daemons > 12 ? {tellEveryMs: 900, gossipMs: 1000} : {};
+		const gossipTiming = daemons > 12 ? {tellEveryMs: 900, gossipMs: 1000} : {};
 		for (const times of daemons > 12 ? [1.5, 3, 6] : [1.5, 3, 12]) {
 			for (const seed of seeds) {
 				const random = makeRandom(seed);
 				const calls = playLimit({
-					...nine, ...through, daemons, random, getAsked: now => now < 6000 ? 40_000 : 100_000 * times,
+					...nineDaemons, ...gossipTiming, daemons, random, getAsked: now => now < 6000 ? 40_000 : 100_000 * times,
 				});
-				const most = sumMostInWindow(calls);
-				assert.ok(most <= ceiling, `${daemons} daemons, ${times} times, seed ${seed}: ${Math.round(most)} of ${ceiling}`);
+				const maxSpent = computeMaxInWindow(calls);
+				assert.ok(maxSpent <= ceiling, `${daemons} daemons, ${times} times, seed ${seed}: ${Math.round(maxSpent)} of ${ceiling}`);
 				const admitted = sumAdmitted(calls, 14_000, 30_000) / 2;
 				const least = Math.min(allowance, 8000 * 100 * times) * (daemons > 12 ? 0.75 : 0.93);
 				assert.ok(admitted >= least, `${daemons} daemons, ${times} times, seed ${seed}: ${Math.round(admitted)} of ${least}`);
@@ -80,55 +80,55 @@
 	}
 });
 
-test('guards against refusing an account that stays below its limit', () => {
+test('admits all calls of an account that stays below its limit', () => {
 	for (const seed of seeds) {
-		const calls = playLimit({...nine, random: makeRandom(seed), getAsked: () => 95_000});
+		const calls = playLimit({...nineDaemons, random: makeRandom(seed), getAsked: () => 95_000});
 		assert.equal(calls.filter(call => !call.isAdmitted).length, 0, `seed ${seed}`);
 	}
 });
 
-test('guards against small calls that are kept out by the long prompts of their own account', () => {
-	const asked = {small: 0, refused: 0};
+test('admits most small calls of an account whose long prompts exceed its limit', () => {
+	const requested = {small: 0, refused: 0};
 	for (const seed of seeds) {
 		const calls = playLimit({
-			...nine, random: makeRandom(seed), smallPart: 0.3, getAsked: () => 500_000,
+			...nineDaemons, random: makeRandom(seed), smallPart: 0.3, getAsked: () => 500_000,
 		});
-		const most = sumMostInWindow(calls);
-		assert.ok(most <= ceiling, `seed ${seed}: ${Math.round(most)} of ${ceiling}`);
+		const maxSpent = computeMaxInWindow(calls);
+		assert.ok(maxSpent <= ceiling, `seed ${seed}: ${Math.round(maxSpent)} of ${ceiling}`);
 		const small = calls.filter(call => call.cost === smallCost);
-		asked.small += small.length;
-		asked.refused += small.filter(call => !call.isAdmitted).length;
+		requested.small += small.length;
+		requested.refused += small.filter(call => !call.isAdmitted).length;
 	}
 
-	assert.ok(asked.refused / asked.small < 0.1, `${asked.refused} of ${asked.small}`);
+	assert.ok(requested.refused / requested.small < 0.1, `${requested.refused} of ${requested.small}`);
 });
 
-test('guards against drafts refused in favour of what is less urgent when an account asks too much', () => {
+test('admits urgent calls before less urgent ones when an account exceeds its limit', () => {
 	const admitted = [0, 0, 0];
-	const asked = [0, 0, 0];
+	const requested = [0, 0, 0];
 	for (const seed of seeds) {
 		const calls = playLimit({
-			...nine, random: makeRandom(seed), lessUrgentPart: 0.3, getAsked: () => 250_000,
+			...nineDaemons, random: makeRandom(seed), lessUrgentPart: 0.3, getAsked: () => 250_000,
 		});
 		for (const call of calls.filter(({at}) => at > 8000)) {
-			asked[call.rank]! += call.cost;
+			requested[call.rank]! += call.cost;
 			admitted[call.rank]! += call.isAdmitted ? call.cost : 0;
 		}
 	}
 
-	const [urgent, , other] = asked.map((cost, rank) => admitted[rank]! / cost);
+	const [urgent, , other] = requested.map((cost, rank) => admitted[rank]! / cost);
 	assert.ok(urgent! > 1.5 * other!, `${urgent} and ${other}`);
 	assert.ok(other! > 0.1, String(other));
 });
 
-test('guards against seconds of refusals, or a limit begun anew, after all daemons ended at once', () => {
+test('neither rejects calls for seconds nor resets the limit after all daemons restart at once', () => {
 	let total = 0;
 	for (const seed of seeds) {
 		const calls = playLimit({
-			...nine, random: makeRandom(seed), getAsked: () => 250_000, endsAt: 13_000,
+			...nineDaemons, random: makeRandom(seed), getAsked: () => 250_000, endsAt: 13_000,
 		});
-		const most = sumMostInWindow(calls);
-		assert.ok(most <= ceiling, `seed ${seed}: ${Math.round(most)} of ${ceiling}`);
+		const maxSpent = computeMaxInWindow(calls);
+		assert.ok(maxSpent <= ceiling, `seed ${seed}: ${Math.round(maxSpent)} of ${ceiling}`);
 		const admitted = sumAdmitted(calls, 13_500, 17_500);
 		total += admitted / seeds.length;
 	}
@@ -136,21 +136,21 @@
 	assert.ok(total >= 0.8 * 4 * limit.perSecond, String(Math.round(total)));
 });
 
-test('a call larger than what is ready is admitted with the chance of their ratio', () => {
+test('a call that costs more than the bucket level is admitted with the probability level / cost', () => {
 	const random = makeRandom(7);
 	let admitted = 0;
 	for (let index = 0; index < 10_000; index++) {
-		const verdict = takeFromBucket({...openBucket(0), level: 300}, {
+		const decision = takeFromBucket({...openBucket(0), level: 300}, {
 			cost: 1000, now: 0, isOpen: false, allotment: {most: 300, perMs: 0}, random,
 		});
-		assert.equal(verdict.bucket.level, 0);
-		admitted += verdict.isAdmitted ? 1 : 0;
+		assert.equal(decision.bucket.level, 0);
+		admitted += decision.isAdmitted ? 1 : 0;
 	}
 
 	assert.ok(Math.abs(admitted - 3000) < 150, String(admitted));
 });
 
-test('what was spent before all daemons ended leaves the window bit by bit', () => {
+test('spending from before a restart of all daemons leaves the window gradually', () => {
 	const spending = openSpending(8000);
 	noteSpent(spending, 700, 1000);
 	noteSpent(spending, 300, 7500);
@@ -163,7 +163,7 @@
 	assert.equal(sumSlots(slots), readSpent(spending, 8000));
 });
 
-test('what is written in advance is never more than the account may spend', () => {
+test('predicted spending does not grow beyond what the account may spend', () => {
 	const input = {
 		slots: [300, 0, 0, 0, 0, 0, 0, 700], aheadMs: 1000, windowMs: 8000,
 	};
@@ -172,19 +172,19 @@
 	assert.equal(sumSlots(predictSlots({...input, demand: 1_000_000, usable: 200})), 300);
 });
 
-test('a daemon that hears less of the others takes less of the room', () => {
+test('a daemon that receives fewer reports grants less of the budget', () => {
 	assert.equal(hasRoom(view, 1), true);
-	const cut = {...view, heardDaemons: 3, silentDaemons: 6};
-	assert.equal(hasRoom(cut, 1), false);
-	assert.ok(computeRoom(cut) < 0);
+	const partitioned = {...view, heardDaemons: 3, silentDaemons: 6};
+	assert.equal(hasRoom(partitioned, 1), false);
+	assert.ok(computeRoom(partitioned) < 0);
 });
 
-test('a caller is told to come back when its call is likely to be admitted, within a window', () => {
-	const full = {
+test('the retry delay lasts until the call is likely to be admitted and is at most one window', () => {
+	const exhausted = {
 		...view, spent: 95, heardDaemons: 1,
 	};
-	const soon = estimateWait(full, 10);
+	const soon = estimateWait(exhausted, 10);
 	assert.ok(soon > 800 && soon < 1000, String(soon));
-	assert.ok(estimateWait(full, 20) > soon);
-	assert.equal(estimateWait(full, 1e9), 8000);
+	assert.ok(estimateWait(exhausted, 20) > soon);
+	assert.equal(estimateWait(exhausted, 1e9), 8000);
 });
--- a/packages/core/src/quotas/spending.ts
+++ b/packages/core/src/quotas/spending.ts
@@ -1,18 +1,18 @@
-/** Cost units that were admitted for one client account within a sliding window. */
+/** Cost units of admitted calls of one client account within a sliding window. */
 
 export type Spending = {
 	readonly windowMs: number;
-	/** Moment and cost of each admitted call, the oldest first. */
+	/** Time and cost of each admitted call, oldest first. */
 	readonly entries: Array<{readonly at: number; readonly cost: number}>;
 	total: number;
 };
 
 export const openSpending = (windowMs: number): Spending => ({windowMs, entries: [], total: 0});
 
-const dropOld = (spending: Spending, now: number): void => {
-	const since = now - spending.windowMs;
+const dropExpired = (spending: Spending, now: number): void => {
+	const windowStart = now - spending.windowMs;
 	let dropped = 0;
-	while (dropped < spending.entries.length && spending.entries[dropped]!.at < since) {
+	while (dropped < spending.entries.length && spending.entries[dropped]!.at < windowStart) {
 		spending.total -= spending.entries[dropped]!.cost;
 		dropped++;
 	}
@@ -21,57 +21,57 @@
 };
 
 export const noteSpent = (spending: Spending, cost: number, now: number): void => {
-	dropOld(spending, now);
+	dropExpired(spending, now);
 	spending.entries.push({at: now, cost});
 	spending.total += cost;
 };
 
 export const readSpent = (spending: Spending, now: number): number => {
-	dropOld(spending, now);
+	dropExpired(spending, now);
 	return spending.total;
 };
 
-/** Parts of the window that are told, the newest first: enough to know when what others spent falls out of it. */
-const spentSlots = 8;
+/** Number of slots of the window in reports: enough to know when the spending of other daemons leaves the window. */
+const slotCount = 8;
 
-/** What was spent in each part of the window, the newest first. */
+/** Computes the cost that was spent in each slot of the window, newest first. */
 export const readSpentSlots = (spending: Spending, now: number): number[] => {
-	dropOld(spending, now);
-	const slots = Array.from<number>({length: spentSlots}).fill(0);
-	const slotMs = spending.windowMs / spentSlots;
+	dropExpired(spending, now);
+	const slots = Array.from<number>({length: slotCount}).fill(0);
+	const slotMs = spending.windowMs / slotCount;
 	for (const {at, cost} of spending.entries) {
-		const slot = Math.min(spentSlots - 1, Math.max(0, Math.floor((now - at) / slotMs)));
+		const slot = Math.min(slotCount - 1, Math.max(0, Math.floor((now - at) / slotMs)));
 		slots[slot]! += cost;
 	}
 
 	return slots;
 };
 
-/** Parts that were told `agoMs` ago as they are now, as if each had been spent evenly; what has left the window is gone. */
+/** Shifts slots that were reported `agoMs` ago to the present, assuming even spending within a slot. Drops what has left the window. */
 export const ageSlots = (slots: readonly number[], agoMs: number, windowMs: number): number[] => {
-	const slotMs = windowMs / spentSlots;
-	const aged = Array.from<number>({length: spentSlots}).fill(0);
-	const shift = Math.max(0, agoMs) / slotMs;
-	const whole = Math.floor(shift);
+	const slotMs = windowMs / slotCount;
+	const aged = Array.from<number>({length: slotCount}).fill(0);
+	const shiftedSlots = Math.max(0, agoMs) / slotMs;
+	const wholeSlots = Math.floor(shiftedSlots);
 	for (const [index, cost] of slots.entries()) {
-		const part = cost * (shift - whole);
-		if (index + whole < spentSlots) {
-			aged[index + whole]! += cost - part;
+		const movedCost = cost * (shiftedSlots - wholeSlots);
+		if (index + wholeSlots < slotCount) {
+			aged[index + wholeSlots]! += cost - movedCost;
 		}
 
-		if (index + whole + 1 < spentSlots) {
-			aged[index + whole + 1]! += part;
+		if (index + wholeSlots + 1 < slotCount) {
+			aged[index + wholeSlots + 1]! += movedCost;
 		}
 	}
 
 	return aged;
 };
 
-/** Adds lists of parts. */
+/** Adds lists of slots elementwise. */
 export const addSlots = (lists: Iterable<readonly number[] | undefined>): number[] => {
-	const total = Array.from<number>({length: spentSlots}).fill(0);
+	const total = Array.from<number>({length: slotCount}).fill(0);
 	for (const slots of lists) {
-		for (const [index, cost] of (slots ?? []).slice(0, spentSlots).entries()) {
+		for (const [index, cost] of (slots ?? []).slice(0, slotCount).entries()) {
 			total[index]! += cost;
 		}
 	}
@@ -81,32 +81,29 @@
 
 export const sumSlots = (slots: readonly number[] | undefined): number => (slots ?? []).reduce((sum, cost) => sum + cost, 0);
 
-/** A cost that was spent evenly in the last `recentMs`. */
+/** Returns the slots for a cost that was spent evenly within the last `recentMs`. */
 const spreadRecent = (cost: number, recentMs: number, windowMs: number): number[] => {
-	const slotMs = windowMs / spentSlots;
-	return Array.from({length: spentSlots}, (_slot, index) => {
+	const slotMs = windowMs / slotCount;
+	return Array.from({length: slotCount}, (_slot, index) => {
 		const overlapMs = Math.min(slotMs, Math.max(0, recentMs - (index * slotMs)));
 		return cost * overlapMs / recentMs;
 	});
 };
 
-export type SpendingForecast = {
-	/** What was spent in each part of the window, the newest first. */
+export type ForecastInput = {
+	/** Cost spent in each slot of the window, newest first. */
 	readonly slots: readonly number[];
-	/** Cost units asked a second. */
+	/** Requested cost units per second. */
 	readonly demand: number;
-	/** What may be given out within the window. */
+	/** Maximum that may be granted within the window. */
 	readonly usable: number;
 	readonly aheadMs: number;
 	readonly windowMs: number;
 };
 
-/**
- * The same parts as of `aheadMs` later, if all is admitted that is asked until then: but not more
- * than may be given out.
- */
-export const predictSlots = ({slots, demand, usable, aheadMs, windowMs}: SpendingForecast): number[] => {
+/** Predicts the slots `aheadMs` from now, assuming that all demand until then is admitted up to `usable`. */
+export const predictSlots = ({slots, demand, usable, aheadMs, windowMs}: ForecastInput): number[] => {
 	const aged = ageSlots(slots, aheadMs, windowMs);
-	const coming = Math.min(demand * aheadMs / 1000, Math.max(0, usable - sumSlots(aged)));
-	return addSlots([aged, spreadRecent(coming, aheadMs, windowMs)]);
+	const expectedCost = Math.min(demand * aheadMs / 1000, Math.max(0, usable - sumSlots(aged)));
+	return addSlots([aged, spreadRecent(expectedCost, aheadMs, windowMs)]);
 };
