--- a/packages/core/src/retries/crash-register.ts
+++ b/packages/core/src/retries/crash-register.ts
@@ -1,49 +1,50 @@
 /**
- * Requests that end the backend servers which run them. The caller sends such a request again,
- * under another id and at any daemon, so it is known by its digest: account, method, path and body.
+ * Tracks requests that crash the backend servers they run on. Callers resend such a request with
+ * another id and to any daemon, so it is identified by a digest of account, method, path and body.
  */
 
 export type CrashRegister = {
-	/** Digest → backend incarnations that ended while they ran it. */
+	/** Digest → incarnations of backend servers that ended while running the request. */
 	readonly endedBy: ReadonlyMap<string, readonly string[]>;
-	/** Digest → when it is forgotten, on the steady clock. */
+	/** Digest → expiry time, on the steady clock. */
 	readonly forgetAt: ReadonlyMap<string, number>;
 };
 
 export const emptyCrashRegister: CrashRegister = {endedBy: new Map(), forgetAt: new Map()};
 
-/** Backend servers that a request may end before it is refused: one may be chance, two are not. */
-const endsUntilRefused = 2;
+/** Number of crashed backend servers after which a request is refused. One crash may be a coincidence, two are not. */
+const crashesUntilRefused = 2;
 
-/** How long a digest is remembered: callers send such a request again for minutes. */
-const memoryMs = 300_000;
+/** Time for which a digest is kept. Callers resend such a request for minutes. */
+const retentionMs = 300_000;
 
-/** Digests remembered at once; the oldest are forgotten first. */
-const mostDigests = 2000;
+/** Maximum number of digests; the oldest are evicted first. */
+const maxDigests = 2000;
 
+/** Records a crash of a backend server incarnation and evicts expired or excess digests. Returns the updated register. */
 export const noteCrash = (register: CrashRegister, digest: string, incarnation: string, now: number): CrashRegister => {
-	const known = register.endedBy.get(digest) ?? [];
-	if (known.includes(incarnation)) {
+	const knownIncarnations = register.endedBy.get(digest) ?? [];
+	if (knownIncarnations.includes(incarnation)) {
 		return register;
 	}
 
-	const endedBy = new Map(register.endedBy);
+	const crashedIncarnations = new Map(register.endedBy);
 	const forgetAt = new Map(register.forgetAt);
-	endedBy.delete(digest);
-	endedBy.set(digest, [...known, incarnation]);
-	forgetAt.set(digest, now + memoryMs);
-	for (const old of endedBy.keys()) {
-		if (endedBy.size <= mostDigests && (forgetAt.get(old) ?? 0) > now) {
+	crashedIncarnations.delete(digest);
+	crashedIncarnations.set(digest, [...knownIncarnations, incarnation]);
+	forgetAt.set(digest, now + retentionMs);
+	for (const oldDigest of crashedIncarnations.keys()) {
+		if (crashedIncarnations.size <= maxDigests && (forgetAt.get(oldDigest) ?? 0) > now) {
 			break;
 		}
 
-		endedBy.delete(old);
-		forgetAt.delete(old);
+		crashedIncarnations.delete(oldDigest);
+		forgetAt.delete(oldDigest);
 	}
 
-	return {endedBy, forgetAt};
+	return {endedBy: crashedIncarnations, forgetAt};
 };
 
-export const isRefusedForCrashes = (register: CrashRegister, digest: string): boolean => (register.endedBy.get(digest)?.length ?? 0) >= endsUntilRefused;
+export const isRefusedForCrashes = (register: CrashRegister, digest: string): boolean => (register.endedBy.get(digest)?.length ?? 0) >= crashesUntilRefused;
 
 export const hasCrashed = (register: CrashRegister, digest: string): boolean => register.endedBy.has(digest);
--- a/packages/core/src/retries/repeat-allowance.ts
+++ b/packages/core/src/retries/repeat-allowance.ts
@@ -1,12 +1,13 @@
 /**
- * Limits second tries over all daemons: in any window each daemon repeats at most a share of the
- * calls that it got itself, plus its part of a fixed slack. The sums over all daemons then keep
- * the limit with no message between them.
+ * Limits repeated attempts across all daemons. Within a window, each daemon repeats at most a
+ * fraction of the calls that it received, plus its part of a fixed slack. All daemons together
+ * thus stay within the limit without exchanging messages.
  */
 
 export type RepeatAllowance = {
-	/** Moments of calls and of repeats, the oldest first, on the steady clock. */
+	/** Times of the received calls, oldest first, on the steady clock. */
 	readonly calls: number[];
+	/** Times of the repeated attempts, oldest first, on the steady clock. */
 	readonly repeats: number[];
 };
 
@@ -19,28 +20,28 @@
 
 export const emptyAllowance = (): RepeatAllowance => ({calls: [], repeats: []});
 
-/** Part of the slack that is used; the rest covers daemons that are not known of yet. */
-const usedSlack = 0.7;
+/** Share of the ratio and the slack that is used. The rest is for daemons that are not known yet. */
+const usedShare = 0.7;
 
-const dropOlder = (moments: number[], since: number): void => {
-	const kept = moments.findIndex(moment => moment >= since);
-	moments.splice(0, kept === -1 ? moments.length : kept);
+const dropExpired = (timestamps: number[], windowStart: number): void => {
+	const firstKept = timestamps.findIndex(timestamp => timestamp >= windowStart);
+	timestamps.splice(0, firstKept === -1 ? timestamps.length : firstKept);
 };
 
 export const noteCall = (allowance: RepeatAllowance, limit: RepeatLimit, now: number): void => {
 	allowance.calls.push(now);
-	// A look through the line at each call would cost as much as the call itself.
+	// Scanning the list on every call would cost as much as the call itself.
 	if (allowance.calls.length % 64 === 0) {
-		dropOlder(allowance.calls, now - limit.windowMs);
+		dropExpired(allowance.calls, now - limit.windowMs);
 	}
 };
 
-/** Takes one repeat; false when the window has none left. */
+/** Takes one repeat from the allowance. Returns false if none is left in the window. */
 export const takeRepeat = (allowance: RepeatAllowance, limit: RepeatLimit, now: number): boolean => {
-	dropOlder(allowance.calls, now - limit.windowMs);
-	dropOlder(allowance.repeats, now - limit.windowMs);
-	const most = (limit.ratio * allowance.calls.length * usedSlack) + (limit.slack * usedSlack / Math.max(1, limit.daemons));
-	if (allowance.repeats.length + 1 > most) {
+	dropExpired(allowance.calls, now - limit.windowMs);
+	dropExpired(allowance.repeats, now - limit.windowMs);
+	const maxRepeats = (limit.ratio * allowance.calls.length * usedShare) + (limit.slack * usedShare / Math.max(1, limit.daemons));
+	if (allowance.repeats.length + 1 > maxRepeats) {
 		return false;
 	}
 
--- a/packages/core/src/retries/suspects.test.ts
+++ b/packages/core/src/retries/suspects.test.ts
@@ -9,40 +9,39 @@
 
 type Death = {readonly backendId: string; readonly tokens?: number; readonly wasAnnounced?: boolean; readonly zoneDeaths?: number};
 
-const die = (state: SuspectState, {backendId, tokens = 0, wasAnnounced = false, zoneDeaths = 1}: Death): SuspectState => recordDeath({
+const recordTestDeath = (state: SuspectState, {backendId, tokens = 0, wasAnnounced = false, zoneDeaths = 1}: Death): SuspectState => recordDeath({
 	state, backendId, inFlight: [{fingerprint: 'f', tokens}], zoneDeaths, wasAnnounced, now: 0,
 });
 
 const cases: ReadonlyArray<{readonly name: string; readonly deaths: readonly Death[]; readonly isConvicted: boolean | undefined}> = [
-	{name: 'one death makes a suspect', deaths: [{backendId: 'a'}], isConvicted: false},
-	{name: 'the same death told twice is one', deaths: [{backendId: 'a'}, {backendId: 'a'}], isConvicted: false},
-	{name: 'a second backend server convicts', deaths: [{backendId: 'a'}, {backendId: 'b'}], isConvicted: true},
-	{name: 'an announced end says nothing', deaths: [{backendId: 'a', wasAnnounced: true}], isConvicted: undefined},
-	{name: 'a zone that goes at once says nothing', deaths: [{backendId: 'a', zoneDeaths: 3}], isConvicted: undefined},
+	{name: 'one crash makes a request a suspect but does not convict it', deaths: [{backendId: 'a'}], isConvicted: false},
+	{name: 'a crash that is reported twice counts once', deaths: [{backendId: 'a'}, {backendId: 'a'}], isConvicted: false},
+	{name: 'the crash of a second backend server convicts', deaths: [{backendId: 'a'}, {backendId: 'b'}], isConvicted: true},
+	{name: 'an announced shutdown is ignored', deaths: [{backendId: 'a', wasAnnounced: true}], isConvicted: undefined},
+	{name: 'a mass reclaim in one zone is ignored', deaths: [{backendId: 'a', zoneDeaths: 3}], isConvicted: undefined},
 ];
 
 for (const {name, deaths, isConvicted} of cases) {
 	test(name, () => {
 		let state = empty;
 		for (const death of deaths) {
-			state = die(state, death);
+			state = recordTestDeath(state, death);
 		}
 
 		assert.equal(state.get('f')?.isConvicted, isConvicted);
 	});
 }
 
-test('a request that ends engines late in its answer is not cleared by the beginning of it', () => {
-	// The answer was at its hundredth token when the engine died. The caller sends the question
-	// again, and its first tokens come without harm; cleared by those, it would end a third
-	// engine at the hundredth, and then a fourth.
-	const state = die(empty, {backendId: 'a', tokens: 100});
+test('a request that crashes engines late in its answer is not cleared by the first tokens', () => {
+	// The engine crashed at token 100. If the first tokens of a resend cleared the request, it
+	// would crash further engines at the same token.
+	const state = recordTestDeath(empty, {backendId: 'a', tokens: 100});
 	const suspect = state.get('f');
 	assert.deepEqual([8, 100, 107, 108].map(tokens => isPastDeath(suspect, tokens)), [false, false, false, true]);
 	assert.equal(isPastDeath(undefined, 8), true);
 });
 
-test('daemons that hear of deaths in any order come to the same verdict', () => {
+test('daemons that receive crash reports in any order reach the same state', () => {
 	const suspect = fc.record({
 		fingerprint: fc.constantFrom('f', 'g'),
 		deaths: fc.uniqueArray(fc.constantFrom('a', 'b', 'c'), {minLength: 1}),
@@ -51,17 +50,17 @@
 		forgetAt: fc.nat(50),
 	});
 	const sort = (state: SuspectState): Suspect[] => [...state.values()].toSorted((left, right) => left.fingerprint.localeCompare(right.fingerprint));
-	fc.assert(fc.property(fc.array(suspect, {maxLength: 6}), fc.nat(), (news, turn) => {
-		const cut = news.length === 0 ? 0 : turn % news.length;
-		const turned = [...news.slice(cut), ...news.slice(0, cut)];
-		const once = mergeSuspects(empty, news);
-		assert.deepEqual(sort(mergeSuspects(empty, turned)), sort(once));
-		assert.deepEqual(sort(mergeSuspects(once, news)), sort(once));
+	fc.assert(fc.property(fc.array(suspect, {maxLength: 6}), fc.nat(), (updates, rotation) => {
+		const cut = updates.length === 0 ? 0 : rotation % updates.length;
+		const rotated = [...updates.slice(cut), ...updates.slice(0, cut)];
+		const once = mergeSuspects(empty, updates);
+		assert.deepEqual(sort(mergeSuspects(empty, rotated)), sort(once));
+		assert.deepEqual(sort(mergeSuspects(once, updates)), sort(once));
 	}), {seed: 7});
 });
 
-test('a suspect is forgotten at its stored time', () => {
-	const state = die(empty, {backendId: 'a'});
+test('a suspect expires at its stored time', () => {
+	const state = recordTestDeath(empty, {backendId: 'a'});
 	const {forgetAt} = state.get('f')!;
 	assert.equal(forgetSuspects(state, forgetAt - 1).size, 1);
 	assert.equal(forgetSuspects(state, forgetAt).size, 0);
--- a/packages/core/src/retries/suspects.ts
+++ b/packages/core/src/retries/suspects.ts
@@ -1,26 +1,26 @@
 /**
- * Requests that were in flight when a backend server died unannounced. One of
- * them may be the cause; it shows when it is run again apart from the others and
- * the next backend server dies too.
+ * Requests that were in flight when a backend server crashed without notice. One of them may be
+ * the cause: it is run again isolated from other suspects, and is convicted if that backend server
+ * crashes too.
  */
 
 export type Suspect = {
 	readonly fingerprint: string;
-	/** Backend servers that died while they ran it. */
+	/** Ids of the backend servers that crashed while running the request. */
 	readonly deaths: readonly string[];
 	readonly isConvicted: boolean;
-	/** The furthest that an answer to it had come at a death; what ends a backend server may lie there. */
+	/** Highest token position of an answer at a crash, which may be where the crash is triggered. */
 	readonly tokens: number;
-	/** When it is forgotten. */
+	/** Expiry time. */
 	readonly forgetAt: number;
 };
 
 export type SuspectState = ReadonlyMap<string, Suspect>;
 
-/** A request at the moment of a death. */
+/** State of a request at the time of a crash. */
 export type InFlight = {
 	readonly fingerprint: string;
-	/** Tokens of its answer that had come. */
+	/** Number of answer tokens received so far. */
 	readonly tokens: number;
 };
 
@@ -28,25 +28,27 @@
 	readonly state: SuspectState;
 	readonly backendId: string;
 	readonly inFlight: readonly InFlight[];
-	/** Deaths in the same availability zone around this one, this one included. */
+	/** Number of recent crashes in the same availability zone, including this one. */
 	readonly zoneDeaths: number;
 	readonly wasAnnounced: boolean;
 	readonly now: number;
 };
 
-const rememberMs = 60 * 60 * 1000;
+const retentionMs = 60 * 60 * 1000;
 
-/** A second death convicts. */
+/** Number of crashed backend servers after which a request is convicted. */
 const deathsToConvict = 2;
 
-/** So many deaths of one availability zone within the window are a reclaim, and say nothing of requests. */
-const zoneWaveDeaths = 3;
+/** This many crashes in one availability zone within the window are treated as a mass reclaim, not as caused by requests. */
+const massReclaimDeaths = 3;
 
+/** Time window in which crashes of one availability zone are counted. */
 export const zoneWaveWindowMs = 2000;
 
+/** Marks all requests in flight at a crash as suspects. Returns the updated state. */
 export const recordDeath = (options: DeathOptions): SuspectState => {
 	const {state, backendId, inFlight, zoneDeaths, wasAnnounced, now} = options;
-	if (wasAnnounced || zoneDeaths >= zoneWaveDeaths) {
+	if (wasAnnounced || zoneDeaths >= massReclaimDeaths) {
 		return state;
 	}
 
@@ -59,14 +61,14 @@
 			deaths,
 			isConvicted: deaths.length >= deathsToConvict,
 			tokens: Math.max(known?.tokens ?? 0, tokens),
-			forgetAt: now + rememberMs,
+			forgetAt: now + retentionMs,
 		});
 	}
 
 	return next;
 };
 
-/** Takes in what another daemon has seen; both sides come to the same state in any order. */
+/** Merges suspects reported by another daemon. The order of merges does not affect the resulting state. */
 export const mergeSuspects = (state: SuspectState, others: readonly Suspect[]): SuspectState => {
 	const next = new Map(state);
 	for (const other of others) {
@@ -87,12 +89,12 @@
 export const forgetSuspects = (state: SuspectState, now: number): SuspectState =>
 	new Map([...state].filter(([, suspect]) => suspect.forgetAt > now));
 
-/** So many tokens past the place of a death, apart from other suspects, show that the request did not do it. */
-const clearedAfterTokens = 8;
+/** Number of tokens past the crash position after which an isolated request is cleared. */
+const tokensUntilCleared = 8;
 
-/** Whether a suspect that runs apart from others has come far enough to be cleared. */
+/** Whether the answer of an isolated suspect has progressed far enough to clear it. */
 export const isPastDeath = (suspect: Suspect | undefined, tokens: number): boolean =>
-	tokens >= (suspect?.tokens ?? 0) + clearedAfterTokens;
+	tokens >= (suspect?.tokens ?? 0) + tokensUntilCleared;
 
 export const liftSuspect = (state: SuspectState, fingerprint: string): SuspectState => {
 	const next = new Map(state);
