--- a/packages/core/src/routing/compute-cost.ts
+++ b/packages/core/src/routing/compute-cost.ts
@@ -1,47 +1,49 @@
-/** What it costs to send a call to a backend server, in milliseconds that somebody waits. */
-import {predictDisturbance, predictFirstToken, predictPrefill} from './predict-wait.js';
+/** Cost of sending a call to a backend server, expressed in milliseconds of waiting time. */
+import {predictDelayToOthers, predictFirstToken, predictPrefill} from './predict-wait.js';
 import {type BackendView, type RoutedCall, type RoutingContext} from './types.js';
 
-/** Milliseconds that one credit an hour is worth in a choice; small against waits, so that it decides between equals. */
+/** Cost of each credit per hour. It is small compared to waits, so that the price only decides between otherwise equal backend servers. */
 const priceWeightMs = 4;
 
-/** Milliseconds that leaving the availability zone costs, beyond the network's own. */
-const otherZoneMs = 3;
+/** Penalty for another availability zone, in addition to the network latency. */
+const otherZonePenaltyMs = 3;
 
 /**
- * Milliseconds that a place beyond a backend server's limit costs. At 2000 calls went
- * elsewhere sooner and read more anew (at Ben Salah's full load 0.17 against 0.13 of the prompt tokens).
+ * Penalty for exceeding the concurrency limit of a backend server. At 2000, calls moved to other
+ * backend servers earlier and recomputed more prompt tokens (0.17 instead of 0.13 of them in the
+ * Ben Salah deployment at full load).
  */
-const fullMs = 400;
+const overLimitPenaltyMs = 400;
 
-/** Of a target so much is used in choosing; the rest is for what could not be predicted. */
-const targetMargin = 0.8;
+/** Share of a latency target that predictions may use. The rest allows for prediction errors. */
+const usableTargetShare = 0.8;
 
-/** An answer that is late anyway costs this, however late: it must not drive others' prompts out of a cache. */
-const latestMs = 1000;
+/** Upper bound of the penalty for a late answer, so that a very late call does not evict the prompts of other calls from a cache. */
+const maxLatePenaltyMs = 1000;
 
-/** A millisecond beyond the target costs so many before it. */
+/** Cost of each millisecond beyond the target, in milliseconds. */
 const lateFactor = 8;
 
-/** Of its own wait so much counts: an answer within its target gains nothing by coming sooner. */
-const ownFactor = 0.2;
+/** Weight of the call's own wait. It is low because an answer within its target gains nothing by arriving earlier. */
+const ownWaitFactor = 0.2;
 
 /**
- * Reading costs the engine's time, and room in its cache, from which another prompt
- * goes that will be read again. In `measure -- routing` 12 recomputed less than 8 on
- * both deployments.
+ * Weight of the prefill, which takes engine time and evicts another prompt from the cache that will
+ * have to be recomputed. In `measure -- routing`, 12 caused less recomputation than 8 on both
+ * deployments.
  */
-const readingFactor = 12;
+const prefillFactor = 12;
 
 /**
- * Leading blocks that the backend server holds, as far as known. The home is taken to
- * hold all but the last, since every daemon sends there; one that is known to hold all goes before it.
+ * Estimates how many leading blocks of the prompt the backend server has cached. The preferred
+ * backend server is assumed to have all but the last block, because every daemon sends the prompt
+ * there. A backend server known to have all blocks is better.
  */
-export const estimateCachedBlocks = ({call, countCachedBlocks}: RoutingContext, backend: BackendView, home: BackendView | undefined): number =>
-	Math.max(countCachedBlocks(backend.id, call.chain), backend === home ? call.chain.length - 1 : 0);
+export const estimateCachedBlocks = ({call, countCachedBlocks}: RoutingContext, backend: BackendView, preferred: BackendView | undefined): number =>
+	Math.max(countCachedBlocks(backend.id, call.chain), backend === preferred ? call.chain.length - 1 : 0);
 
-const penalizeLate = (predictedMs: number, targetMs: number): number =>
-	Math.min(latestMs, Math.max(0, predictedMs - (targetMs * targetMargin)) * lateFactor);
+const computeLatePenalty = (predictedMs: number, targetMs: number): number =>
+	Math.min(maxLatePenaltyMs, Math.max(0, predictedMs - (targetMs * usableTargetShare)) * lateFactor);
 
 const computeWaitCost = (backend: BackendView, call: RoutedCall, cachedBlocks: number): number => {
 	const firstMs = predictFirstToken(backend, call, cachedBlocks);
@@ -49,17 +51,17 @@
 	const {target, expectedTokens} = call;
 	const ownMs = firstMs + (expectedTokens * tokenMs);
 	if (target === undefined) {
-		return ownMs * ownFactor;
+		return ownMs * ownWaitFactor;
 	}
 
-	const lateTokens = target.betweenTokensMs === undefined ? 0 : penalizeLate(tokenMs * expectedTokens, target.betweenTokensMs * expectedTokens);
-	return (ownMs * ownFactor) + penalizeLate(firstMs, target.firstTokenMs) + lateTokens;
+	const tokenPenaltyMs = target.betweenTokensMs === undefined ? 0 : computeLatePenalty(tokenMs * expectedTokens, target.betweenTokensMs * expectedTokens);
+	return (ownMs * ownWaitFactor) + computeLatePenalty(firstMs, target.firstTokenMs) + tokenPenaltyMs;
 };
 
 export const computeCost = (backend: BackendView, call: RoutedCall, cachedBlocks: number): number =>
 	computeWaitCost(backend, call, cachedBlocks)
-	+ (predictPrefill(backend, call, cachedBlocks) * readingFactor)
-	+ predictDisturbance(backend, call, cachedBlocks)
-	+ (backend.running < backend.limit ? 0 : fullMs)
+	+ (predictPrefill(backend, call, cachedBlocks) * prefillFactor)
+	+ predictDelayToOthers(backend, call, cachedBlocks)
+	+ (backend.running < backend.limit ? 0 : overLimitPenaltyMs)
 	+ (backend.price * priceWeightMs)
-	+ (backend.availabilityZone === call.availabilityZone ? 0 : otherZoneMs);
+	+ (backend.availabilityZone === call.availabilityZone ? 0 : otherZonePenaltyMs);
--- a/packages/core/src/routing/find-home.ts
+++ b/packages/core/src/routing/find-home.ts
@@ -1,44 +1,45 @@
-/** The home of a prompt: where daemons agree, without a message, that its beginning is kept. */
+/** Prompt affinity: all daemons prefer the same backend server for a prompt prefix without exchanging messages. */
 import {estimateLoad} from './predict-wait.js';
 import {weighMember} from './rank-by-rendezvous.js';
 import {type BackendView, type RoutingContext} from './types.js';
 
 /**
- * A home takes at most this many times its part of the load; beyond it the next in rank
- * is the home. At 1.25 homes gave way so often that 0.11 of the prompts were read anew, at 3 0.07.
+ * Maximum load of the preferred backend server, as a multiple of its proportional load. Beyond it,
+ * the one with the next highest score is preferred. At 1.25 the preference changed so often that
+ * 0.11 of the prompts were recomputed; at 3 it was 0.07.
  */
-const loadBound = 3;
+const maxLoadFactor = 3;
 
 /**
- * Blocks of the beginning that tell prompts apart. Prompts of one service share
- * their first blocks, and by these alone all would have the same home; deeper ones
+ * Maximum number of leading blocks that determine the affinity. Prompts of one service share their
+ * first blocks, so fewer blocks would send all of them to the same backend server. Later blocks
  * change as a conversation grows.
  */
-const homeBlocks = 8;
+const maxAffinityBlocks = 8;
 
 const hashRange = 2 ** 32;
-const halfRange = hashRange / 2;
+const halfHashRange = hashRange / 2;
 
-/** The block that the home of the prompt hangs on; undefined for a prompt shorter than a block. */
-export const getHomeBlock = (chain: readonly bigint[]): bigint | undefined => chain[Math.min(homeBlocks, chain.length) - 1];
+/** Returns the hash of the block that determines the affinity; undefined for a prompt shorter than one block. */
+export const getAffinityBlock = (chain: readonly bigint[]): bigint | undefined => chain[Math.min(maxAffinityBlocks, chain.length) - 1];
 
-/** Hash of that block as a number. */
-export const getHomeKey = (chain: readonly bigint[]): number | undefined => {
-	const hash = getHomeBlock(chain);
+/** Returns the lowest 32 bits of the affinity block's hash as a number. */
+export const getAffinityKey = (chain: readonly bigint[]): number | undefined => {
+	const hash = getAffinityBlock(chain);
 	return hash === undefined ? undefined : Number(BigInt.asUintN(32, hash));
 };
 
-const getUniform = (keyHash: number, idHash: number): number => (weighMember(keyHash, idHash) + halfRange + 0.5) / hashRange;
+const hashToUniform = (keyHash: number, idHash: number): number => (weighMember(keyHash, idHash) + halfHashRange + 0.5) / hashRange;
 
-/** Weighted rendezvous hashing: a member owns keys in proportion to its weight. */
-export const scoreMember = (keyHash: number, idHash: number, weight: number): number => -weight / Math.log(getUniform(keyHash, idHash));
+/** Computes the score of a member for a key. With weighted rendezvous hashing, members own keys in proportion to their weights. */
+export const scoreMember = (keyHash: number, idHash: number, weight: number): number => -weight / Math.log(hashToUniform(keyHash, idHash));
 
-/** Engines own prompts in proportion to their cache, or those with a small one would read theirs again and again. */
+/** Engines own prompts in proportion to their cache size; otherwise engines with a small cache would recompute their prompts repeatedly. */
 const getWeight = (backend: BackendView): number => Math.max(1, backend.cacheTokens);
 
-/** The home among candidates, bounded so that one hot beginning does not drown its home. */
-export const findHome = (context: RoutingContext, candidates: readonly BackendView[]): BackendView | undefined => {
-	const key = getHomeKey(context.call.chain);
+/** Finds the preferred backend server of a prompt. The load bound keeps a hot prefix from overloading a single backend server. */
+export const findPreferredBackend = (context: RoutingContext, candidates: readonly BackendView[]): BackendView | undefined => {
+	const key = getAffinityKey(context.call.chain);
 	if (key === undefined || candidates.length === 0) {
 		return undefined;
 	}
@@ -50,23 +51,23 @@
 		totalWeight += getWeight(backend);
 	}
 
-	let home: BackendView | undefined;
-	let highest = Number.NEGATIVE_INFINITY;
+	let preferred: BackendView | undefined;
+	let highestScore = Number.NEGATIVE_INFINITY;
 	for (const backend of candidates) {
 		const weight = getWeight(backend);
-		const uniform = getUniform(key, backend.idHash);
-		// No score is above this, since -ln(u) >= 1 - u; most members are passed over without a logarithm.
-		if (weight / (1 - uniform) <= highest) {
+		const uniform = hashToUniform(key, backend.idHash);
+		// The score is at most this value, because -ln(u) >= 1 - u. Most members are skipped without computing a logarithm.
+		if (weight / (1 - uniform) <= highestScore) {
 			continue;
 		}
 
-		const bound = (totalLoad * loadBound * (weight / totalWeight)) + 1;
+		const maxLoad = (totalLoad * maxLoadFactor * (weight / totalWeight)) + 1;
 		const score = -weight / Math.log(uniform);
-		if (score > highest && estimateLoad(backend) <= bound) {
-			home = backend;
-			highest = score;
+		if (score > highestScore && estimateLoad(backend) <= maxLoad) {
+			preferred = backend;
+			highestScore = score;
 		}
 	}
 
-	return home;
+	return preferred;
 };
--- a/packages/core/src/routing/known-prefixes.ts
+++ b/packages/core/src/routing/known-prefixes.ts
@@ -1,14 +1,14 @@
-/** What this daemon believes each engine's prefix cache to hold, bounded, the oldest forgotten first. */
+/** Estimated contents of each engine's prefix cache. The number of blocks is bounded; the least recently recorded are removed first. */
 
 export type KnownPrefixes = {
 	readonly byBackend: Map<string, Map<bigint, true>>;
-	/** The same the other way round: who holds a block. */
+	/** Reverse index: the ids of the backend servers that hold a block. */
 	readonly holders: Map<bigint, Set<string>>;
-	/** Most blocks remembered for one engine. */
-	readonly mostBlocks: number;
+	/** Maximum number of recorded blocks per engine. */
+	readonly maxBlocks: number;
 };
 
-export const makeKnownPrefixes = (mostBlocks: number): KnownPrefixes => ({byBackend: new Map(), holders: new Map(), mostBlocks});
+export const makeKnownPrefixes = (maxBlocks: number): KnownPrefixes => ({byBackend: new Map(), holders: new Map(), maxBlocks});
 
 const addHolder = (known: KnownPrefixes, hash: bigint, backendId: string): void => {
 	const holders = known.holders.get(hash);
@@ -28,7 +28,7 @@
 	}
 };
 
-/** The engine has read these blocks or says that it stores them. */
+/** Records blocks that the engine has prefilled or reported as cached. */
 export const notePrefix = (known: KnownPrefixes, backendId: string, chain: readonly bigint[]): void => {
 	let blocks = known.byBackend.get(backendId);
 	if (blocks === undefined) {
@@ -43,7 +43,7 @@
 	}
 
 	for (const hash of blocks.keys()) {
-		if (blocks.size <= known.mostBlocks) {
+		if (blocks.size <= known.maxBlocks) {
 			break;
 		}
 
@@ -52,7 +52,7 @@
 	}
 };
 
-/** The engine says that it evicted these blocks. */
+/** Removes blocks that the engine reported as evicted. */
 export const dropPrefix = (known: KnownPrefixes, backendId: string, hashes: readonly bigint[]): void => {
 	const blocks = known.byBackend.get(backendId);
 	for (const hash of hashes) {
@@ -83,5 +83,5 @@
 	return count;
 };
 
-/** Engines that hold the block, as far as known. */
+/** Returns the engines that are known to hold the block. */
 export const listHolders = (known: KnownPrefixes, hash: bigint): ReadonlySet<string> | undefined => known.holders.get(hash);
--- a/packages/core/src/routing/list-candidates.ts
+++ b/packages/core/src/routing/list-candidates.ts
@@ -1,18 +1,18 @@
 import {type BackendView, type RoutedCall} from './types.js';
 
-/** Whether the backend server serves the call, stays, and was not tried for it. */
+/** Whether the backend server serves the call's service, is not leaving and was not tried for the call yet. */
 export const isCandidate = (call: RoutedCall, backend: BackendView): boolean =>
 	!backend.isLeaving && !call.excluded.has(backend.id) && backend.services.includes(call.service);
 
-/** Backend servers that may take the call now; those that failed of late only when there is no other. */
+/** Lists the backend servers that can take the call now. Those with recent connection failures are listed only if there are no others. */
 export const listCandidates = (call: RoutedCall, backends: readonly BackendView[]): BackendView[] => {
 	const healthy: BackendView[] = [];
-	const others: BackendView[] = [];
+	const avoided: BackendView[] = [];
 	for (const backend of backends) {
 		if (isCandidate(call, backend)) {
-			(backend.avoidUntil <= call.now ? healthy : others).push(backend);
+			(backend.avoidUntil <= call.now ? healthy : avoided).push(backend);
 		}
 	}
 
-	return healthy.length > 0 ? healthy : others;
+	return healthy.length > 0 ? healthy : avoided;
 };
--- a/packages/core/src/routing/policies.ts
+++ b/packages/core/src/routing/policies.ts
@@ -1,17 +1,17 @@
-/** Ways of choosing a backend server. The simple ones are kept as baselines for measurements. */
+/** Routing policies. The simple ones are baselines for measurements. */
 import {isCandidate, listCandidates} from './list-candidates.js';
 import {
-	findHome, getHomeBlock, getHomeKey, scoreMember,
+	findPreferredBackend, getAffinityBlock, getAffinityKey, scoreMember,
 } from './find-home.js';
 import {computeCost, estimateCachedBlocks} from './compute-cost.js';
 import {estimateLoad} from './predict-wait.js';
 import {type BackendView, type RoutingPolicy} from './types.js';
 
-const pickLowest = (backends: readonly BackendView[], computeCost: (backend: BackendView) => number): BackendView | undefined => {
+const pickLowest = (backends: readonly BackendView[], getCost: (backend: BackendView) => number): BackendView | undefined => {
 	let best: BackendView | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
 	for (const backend of backends) {
-		const cost = computeCost(backend);
+		const cost = getCost(backend);
 		if (cost < bestCost) {
 			best = backend;
 			bestCost = cost;
@@ -24,54 +24,54 @@
 const pickRandom = (backends: readonly BackendView[], random: () => number): BackendView | undefined =>
 	backends[Math.floor(random() * backends.length)];
 
-/** Each in turn. */
+/** Makes a policy that chooses the candidates in turn. */
 export const makeRoundRobin = (): RoutingPolicy => {
-	let turn = 0;
+	let requestCount = 0;
 	return ({call, backends}) => {
 		const candidates = listCandidates(call, backends);
-		turn++;
-		return candidates[turn % Math.max(1, candidates.length)];
+		requestCount++;
+		return candidates[requestCount % Math.max(1, candidates.length)];
 	};
 };
 
-/** The one with the fewest calls. */
+/** Chooses the candidate with the fewest calls. */
 export const chooseLeastRequests: RoutingPolicy = ({call, backends}) =>
 	pickLowest(listCandidates(call, backends), backend => estimateLoad(backend));
 
-/** The better of two at random. */
+/** Chooses the less loaded of two random candidates. */
 export const chooseTwoChoices: RoutingPolicy = ({call, backends, random}) => {
 	const candidates = listCandidates(call, backends);
 	const pair = [pickRandom(candidates, random), pickRandom(candidates, random)].filter(backend => backend !== undefined);
 	return pickLowest(pair, backend => estimateLoad(backend));
 };
 
-/** Always the home of the prompt's beginning, each engine owning as many. */
+/** Always chooses the owner of the prompt prefix by rendezvous hashing with equal weights. */
 export const choosePrefixAffinity: RoutingPolicy = ({call, backends, random}) => {
 	const candidates = listCandidates(call, backends);
-	const key = getHomeKey(call.chain);
+	const key = getAffinityKey(call.chain);
 	return key === undefined
 		? pickRandom(candidates, random)
 		: pickLowest(candidates, backend => -scoreMember(key, backend.idHash, 1));
 };
 
-const sampledCandidates = 4;
+const sampleCount = 4;
 
 /**
- * The lowest cost among the home of the prompt, those known to hold it, and a few
- * sampled ones, so that daemons with the same lagging reports do not all run to
- * the same one.
+ * Chooses the lowest cost among the preferred backend server of the prompt, those known to have it
+ * cached and a few random ones. Sampling keeps daemons with the same outdated reports from all
+ * choosing the same one.
  */
 export const chooseLowestCost: RoutingPolicy = context => {
 	const {call, random} = context;
 	const candidates = listCandidates(call, context.backends);
 	const considered = new Set<BackendView>();
-	const home = findHome(context, candidates);
-	if (home !== undefined) {
-		considered.add(home);
+	const preferred = findPreferredBackend(context, candidates);
+	if (preferred !== undefined) {
+		considered.add(preferred);
 	}
 
-	const homeBlock = getHomeBlock(call.chain);
-	const holders = homeBlock === undefined ? undefined : context.listHolders(homeBlock);
+	const affinityBlock = getAffinityBlock(call.chain);
+	const holders = affinityBlock === undefined ? undefined : context.listHolders(affinityBlock);
 	if (holders !== undefined) {
 		const isHealthy = (candidates[0]?.avoidUntil ?? 0) <= call.now;
 		for (const id of holders) {
@@ -82,12 +82,12 @@
 		}
 	}
 
-	for (let index = 0; index < sampledCandidates; index++) {
+	for (let index = 0; index < sampleCount; index++) {
 		const sampled = pickRandom(candidates, random);
 		if (sampled !== undefined) {
 			considered.add(sampled);
 		}
 	}
 
-	return pickLowest([...considered], backend => computeCost(backend, call, estimateCachedBlocks(context, backend, home)));
+	return pickLowest([...considered], backend => computeCost(backend, call, estimateCachedBlocks(context, backend, preferred)));
 };
--- a/packages/core/src/routing/predict-wait.ts
+++ b/packages/core/src/routing/predict-wait.ts
@@ -1,10 +1,10 @@
-/** Predicted time to the first token at a backend server. */
+/** Predicts load and answer times of backend servers. */
 import {blockCharacters, estimateTokens} from './hash-prompt.js';
 import {type BackendView, type RoutedCall} from './types.js';
 
 const blockTokens = estimateTokens(blockCharacters);
 
-/** Load that the engine has by now: its lagging report and what this daemon sent since. */
+/** Estimates the current number of calls on an engine from its last report and the calls that this daemon sent since. */
 export const estimateLoad = (backend: BackendView): number => {
 	if (backend.report === undefined) {
 		return backend.running;
@@ -13,22 +13,22 @@
 	return Math.max(backend.running, backend.report.running + backend.report.queued + backend.sentSinceReport);
 };
 
-/** Milliseconds that reading the prompt takes there, given the blocks that it holds. */
+/** Predicts the prefill time of the prompt, given the number of cached blocks, in milliseconds. */
 export const predictPrefill = (backend: BackendView, call: RoutedCall, cachedBlocks: number): number =>
 	Math.max(0, call.promptTokens - (cachedBlocks * blockTokens)) * backend.speed.prefillTokenMs;
 
-/** Milliseconds until the first token, waiting and reading included. */
+/** Predicts the time to the first token including queueing and prefill, in milliseconds. */
 export const predictFirstToken = (backend: BackendView, call: RoutedCall, cachedBlocks: number): number => {
 	const load = estimateLoad(backend);
 	const queued = backend.report?.queued ?? 0;
-	const waiting = (queued * backend.speed.firstTokenMs) + (backend.pendingTokens * backend.speed.prefillTokenMs);
-	return (backend.speed.firstTokenMs * (1 + (load / 16))) + waiting + predictPrefill(backend, call, cachedBlocks);
+	const waitingMs = (queued * backend.speed.firstTokenMs) + (backend.pendingTokens * backend.speed.prefillTokenMs);
+	return (backend.speed.firstTokenMs * (1 + (load / 16))) + waitingMs + predictPrefill(backend, call, cachedBlocks);
 };
 
-/** Milliseconds until the whole answer. */
+/** Predicts the time to the complete answer, in milliseconds. */
 export const predictAnswer = (backend: BackendView, call: RoutedCall, cachedBlocks: number): number =>
 	predictFirstToken(backend, call, cachedBlocks) + (call.expectedTokens * backend.speed.tokenMs);
 
-/** Milliseconds that reading the prompt there takes away from calls with a latency target: each of them waits for it. */
-export const predictDisturbance = (backend: BackendView, call: RoutedCall, cachedBlocks: number): number =>
+/** Predicts the total delay that the prefill causes for running calls with a latency target, each of which waits for it, in milliseconds. */
+export const predictDelayToOthers = (backend: BackendView, call: RoutedCall, cachedBlocks: number): number =>
 	predictPrefill(backend, call, cachedBlocks) * backend.urgent;
--- a/packages/core/src/routing/rank-by-rendezvous.ts
+++ b/packages/core/src/routing/rank-by-rendezvous.ts
@@ -1,4 +1,4 @@
-/** Rendezvous hashing: daemons that see the same members agree without a message. */
+/** Rendezvous hashing: daemons that know the same members make the same choice without exchanging messages. */
 import createXxhash from 'xxhash-wasm';
 
 const {h32, h64} = await createXxhash();
@@ -6,26 +6,26 @@
 /** 32-bit hash of a text. */
 export const hashText = (text: string): number => h32(text);
 
-/** 64-bit hash of a text, for chains where a collision would reuse a wrong prefix. */
+/** 64-bit hash of a text, for hash chains, in which a collision would match a wrong prefix. */
 export const hashTextWide = (text: string, seed = 0n): bigint => h64(text, seed);
 
-/** The members, the one that owns the key first. */
+/** Sorts the members by their weight for the key; the owner of the key is first. */
 export const rankByRendezvous = (key: string, members: readonly string[]): string[] => members
 	.map(member => ({member, weight: h32(`${key}\n${member}`)}))
 	.toSorted((left, right) => right.weight - left.weight || (left.member < right.member ? -1 : 1))
 	.map(ranked => ranked.member);
 
-/** Odd constants of multiplicative hashing. */
+/** Odd constants for multiplicative hashing. */
 const firstMultiplier = 0x9E_37_79_B1;
 const secondMultiplier = 0x85_EB_CA_77;
 
-/** Weight of a member for a key, both hashed already, for choices made at each request; a signed 32-bit number. */
+/** Computes the weight of a member for a key from their hashes, as a signed 32-bit number. Cheap enough to run for every request. */
 export const weighMember = (keyHash: number, idHash: number): number => {
 	const mixed = Math.imul(idHash + keyHash, firstMultiplier);
 	return Math.imul(mixed, mixed + secondMultiplier);
 };
 
-/** The member that owns the key; undefined when there are none. */
+/** Returns the member that owns the key, or undefined if there are no members. */
 export const pickByRendezvous = (key: string, members: Iterable<string>): string | undefined => {
 	let best: string | undefined;
 	let bestWeight = -1;
--- a/packages/core/src/routing/routing.test.ts
+++ b/packages/core/src/routing/routing.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import {makeRandom} from '../testing/make-random.js';
-import {findHome} from './find-home.js';
+import {findPreferredBackend} from './find-home.js';
 import {hashPrompt} from './hash-prompt.js';
 import {
 	countCachedBlocks, dropPrefix, forgetBackend, listHolders, makeKnownPrefixes, notePrefix,
@@ -31,9 +31,9 @@
 	random: makeRandom(1),
 });
 
-const backendsOf = (count: number): BackendView[] => Array.from({length: count}, (_value, index) => makeBackend(`b${index}`));
+const makeBackends = (count: number): BackendView[] => Array.from({length: count}, (_value, index) => makeBackend(`b${index}`));
 
-test('no policy chooses a backend server that leaves, was tried, or does not serve', () => {
+test('no policy chooses a backend server that is leaving, was tried or does not serve the service', () => {
 	const backends = [makeBackend('leaving', {isLeaving: true}), makeBackend('tried'), makeBackend('other', {services: ['else']}), makeBackend('right')];
 	for (const policy of [chooseLowestCost, chooseLeastRequests, chooseTwoChoices, choosePrefixAffinity, makeRoundRobin()]) {
 		const call = makeCall({excluded: new Set(['tried']), chain: [5n]});
@@ -42,62 +42,62 @@
 	}
 });
 
-test('one that failed of late is chosen only when there is no other', () => {
+test('a backend server with recent failures is chosen only if there is no other', () => {
 	const failed = makeBackend('failed', {avoidUntil: 200});
 	assert.equal(chooseLowestCost(makeContext(makeCall(), [failed, makeBackend('healthy', {running: 50})]))?.id, 'healthy');
 	assert.equal(chooseLowestCost(makeContext(makeCall(), [failed]))?.id, 'failed');
 });
 
-test('the engine that holds the prompt is chosen unless its wait is longer than reading anew', () => {
+test('the engine that has the prompt cached is chosen unless its wait is longer than a new prefill', () => {
 	const known = makeKnownPrefixes(100);
 	const chain = [1n, 2n, 3n, 4n, 5n, 6n, 7n, 8n, 9n, 10n, 11n, 12n];
 	notePrefix(known, 'b3', chain);
 	const call = makeCall({chain, promptTokens: 770});
-	assert.equal(chooseLowestCost(makeContext(call, backendsOf(20), known))?.id, 'b3');
-	const busy = backendsOf(20).map(backend => backend.id === 'b3' ? {...backend, report: {running: 64, queued: 80, at: 0}} : backend);
+	assert.equal(chooseLowestCost(makeContext(call, makeBackends(20), known))?.id, 'b3');
+	const busy = makeBackends(20).map(backend => backend.id === 'b3' ? {...backend, report: {running: 64, queued: 80, at: 0}} : backend);
 	assert.notEqual(chooseLowestCost(makeContext(call, busy, known))?.id, 'b3');
 });
 
-test('daemons agree on a prompt\'s home without a message, and few homes change when an engine goes', () => {
-	const backends = backendsOf(20);
+test('the preferred backend server is independent of the order of candidates and changes only if it is removed', () => {
+	const backends = makeBackends(20);
 	let moved = 0;
-	const homes = new Map<string, number>();
+	const counts = new Map<string, number>();
 	for (let prompt = 0; prompt < 2000; prompt++) {
 		const call = makeCall({chain: hashPrompt(`${prompt} `.repeat(300))});
-		const home = findHome(makeContext(call, backends), backends)!;
-		assert.equal(findHome(makeContext(call, backends), backends.toReversed())?.id, home.id);
-		const left = backends.filter(backend => backend.id !== 'b7');
-		moved += home.id !== 'b7' && findHome(makeContext(call, left), left)?.id !== home.id ? 1 : 0;
-		homes.set(home.id, (homes.get(home.id) ?? 0) + 1);
+		const preferred = findPreferredBackend(makeContext(call, backends), backends)!;
+		assert.equal(findPreferredBackend(makeContext(call, backends), backends.toReversed())?.id, preferred.id);
+		const remaining = backends.filter(backend => backend.id !== 'b7');
+		moved += preferred.id !== 'b7' && findPreferredBackend(makeContext(call, remaining), remaining)?.id !== preferred.id ? 1 : 0;
+		counts.set(preferred.id, (counts.get(preferred.id) ?? 0) + 1);
 	}
 
 	assert.equal(moved, 0);
-	assert.equal(homes.size, 20);
-	assert.ok(Math.max(...homes.values()) < 200, JSON.stringify([...homes]));
+	assert.equal(counts.size, 20);
+	assert.ok(Math.max(...counts.values()) < 200, JSON.stringify([...counts]));
 });
 
-test('a home that carries more than its bound of load gives way', () => {
+test('a backend server above its load bound is not preferred', () => {
 	const call = makeCall({chain: [77n]});
-	const home = findHome(makeContext(call, backendsOf(5)), backendsOf(5))!;
-	const loaded = backendsOf(5).map(backend => ({...backend, running: backend.id === home.id ? 100 : 10}));
-	assert.notEqual(findHome(makeContext(call, loaded), loaded)?.id, home.id);
+	const preferred = findPreferredBackend(makeContext(call, makeBackends(5)), makeBackends(5))!;
+	const loaded = makeBackends(5).map(backend => ({...backend, running: backend.id === preferred.id ? 100 : 10}));
+	assert.notEqual(findPreferredBackend(makeContext(call, loaded), loaded)?.id, preferred.id);
 });
 
-test('prompts that share their instructions have homes of their own, and large caches more of them', () => {
-	// All drafts of a shop begin with the same instructions. Were the home found by these alone,
-	// one engine would read all histories, and its cache would forget each before it is asked again.
+test('prompts that share their instructions are spread over engines in proportion to the cache sizes', () => {
+	// All prompts of a service begin with the same instructions. If the instructions alone determined
+	// the affinity, one engine would prefill every conversation and evict each before its next call.
 	const backends = [makeBackend('small', {cacheTokens: 100_000}), makeBackend('large', {cacheTokens: 300_000})];
-	const homes = new Map<string, number>();
+	const counts = new Map<string, number>();
 	for (let prompt = 0; prompt < 2000; prompt++) {
 		const call = makeCall({chain: hashPrompt(`${'the same instructions '.repeat(40)}${`${prompt} `.repeat(600)}`)});
-		const home = findHome(makeContext(call, backends), backends)!;
-		homes.set(home.id, (homes.get(home.id) ?? 0) + 1);
+		const preferred = findPreferredBackend(makeContext(call, backends), backends)!;
+		counts.set(preferred.id, (counts.get(preferred.id) ?? 0) + 1);
 	}
 
-	assert.ok(Math.abs(homes.get('large')! - 1500) < 100, JSON.stringify([...homes]));
+	assert.ok(Math.abs(counts.get('large')! - 1500) < 100, JSON.stringify([...counts]));
 });
 
-test('prompts share a chain exactly as far as their beginnings agree', () => {
+test('two prompts share a hash chain exactly as far as their prefixes are equal', () => {
 	const block = fc.constantFrom('a'.repeat(256), 'b'.repeat(256));
 	fc.assert(fc.property(fc.array(block, {maxLength: 6}), fc.array(block, {maxLength: 6}), (left, right) => {
 		const [one, other] = [hashPrompt(left.join('')), hashPrompt(right.join(''))];
@@ -108,7 +108,7 @@
 	}), {seed: 7});
 });
 
-test('holders and counts of blocks never disagree, and the bound is kept', () => {
+test('holders and block counts stay consistent and within the bound', () => {
 	const step = fc.record({kind: fc.constantFrom('note', 'drop', 'forget'), id: fc.constantFrom('a', 'b'), blocks: fc.array(fc.bigInt({min: 0n, max: 8n}), {maxLength: 5})});
 	fc.assert(fc.property(fc.array(step, {maxLength: 30}), steps => {
 		const known = makeKnownPrefixes(4);
@@ -131,7 +131,7 @@
 	}), {seed: 7});
 });
 
-test('speeds that differ widely are learned from answers', () => {
+test('speeds that differ widely are estimated from answers', () => {
 	let [slow, fast] = [unknownSpeed, unknownSpeed];
 	for (let index = 0; index < 20; index++) {
 		slow = learnSpeed(slow, {firstTokenMs: 200, tokenMs: 60, uncachedTokens: 10});
--- a/packages/core/src/routing/types.ts
+++ b/packages/core/src/routing/types.ts
@@ -1,29 +1,29 @@
-/** What routing knows of a backend server and of a call. */
+/** Backend server and call as seen by routing. */
 
-export type LearnedSpeed = {
-	/** Smoothed time from sending to the first token, with nothing waiting, in milliseconds. */
+export type SpeedEstimate = {
+	/** Smoothed time from sending to the first token without queued calls, in milliseconds. */
 	readonly firstTokenMs: number;
-	/** Smoothed time of one call's token, in milliseconds. */
+	/** Smoothed time between tokens of one call, in milliseconds. */
 	readonly tokenMs: number;
-	/** Smoothed time to read one prompt token that is not cached, in milliseconds. */
+	/** Smoothed prefill time per prompt token that is not cached, in milliseconds. */
 	readonly prefillTokenMs: number;
-	/** About the shortest time between tokens that it was seen to reach, in milliseconds: its own pace without load. */
-	readonly leastTokenMs?: number;
+	/** Approximate minimum of the measured time between tokens, in milliseconds: the engine's speed without load. */
+	readonly minTokenMs?: number;
 	readonly samples: number;
 };
 
 export type LoadReport = {
 	readonly running: number;
 	readonly queued: number;
-	/** Prompt tokens that its cache holds; absent where the engine does not say. */
+	/** Prompt tokens in the cache; absent if the engine does not report them. */
 	readonly cachedTokens?: number;
-	/** When the engine measured it, milliseconds since the epoch. */
+	/** Time of measurement on the engine, in milliseconds since the epoch. */
 	readonly at: number;
 };
 
 export type BackendView = {
 	readonly id: string;
-	/** 32-bit hash of the id; made once, because every choice needs it. */
+	/** 32-bit hash of the id, computed once because every choice needs it. */
 	readonly idHash: number;
 	readonly address: string;
 	readonly availabilityZone: string;
@@ -31,27 +31,27 @@
 	readonly services: readonly string[];
 	readonly checksFencing: boolean;
 	readonly isLeaving: boolean;
-	/** Nothing new before this moment, after failures to connect. */
+	/** Avoided until this time after failures to connect, in milliseconds since the epoch. */
 	readonly avoidUntil: number;
-	/** Calls of this daemon that run there. */
+	/** Running calls of this daemon. */
 	readonly running: number;
-	/** Calls of this daemon sent since the report was measured. */
+	/** Calls that this daemon has sent since the report was measured. */
 	readonly sentSinceReport: number;
-	/** Prompt tokens of this daemon's calls that it has not read yet, as far as known. */
+	/** Estimated prompt tokens of this daemon's calls that are not prefilled yet. */
 	readonly pendingTokens: number;
-	/** Of the calls of this daemon that run there, those with a latency target. */
+	/** Running calls of this daemon that have a latency target. */
 	readonly urgent: number;
-	/** The most prompt tokens that its cache was seen to hold; what its memory is good for. */
+	/** Highest reported number of prompt tokens in the cache, used as its capacity. */
 	readonly cacheTokens: number;
-	/** Calls that this daemon lets run there at once. */
+	/** Maximum number of concurrent calls of this daemon. */
 	readonly limit: number;
 	readonly report?: LoadReport;
-	readonly speed: LearnedSpeed;
-	/** Credits an hour. */
+	readonly speed: SpeedEstimate;
+	/** Credits per hour. */
 	readonly price: number;
 };
 
-/** What 95 in 100 answers of a class are to keep, in milliseconds. */
+/** Latencies that 95% of the answers of a class must not exceed, in milliseconds. */
 export type LatencyTarget = {
 	readonly firstTokenMs: number;
 	readonly betweenTokensMs: number | undefined;
@@ -60,19 +60,19 @@
 export type RoutedCall = {
 	readonly service: string;
 	readonly promptTokens: number;
-	/** Hashes of the prompt's blocks, each over all before it; empty for plain services. */
+	/** Hash chain of the prompt's blocks, in which each hash includes all blocks before it; empty for services without prompts. */
 	readonly chain: readonly bigint[];
 	readonly expectedTokens: number;
 	readonly now: number;
-	/** The caller's availability zone: this daemon's. */
+	/** Availability zone of this daemon, which is also the caller's. */
 	readonly availabilityZone: string;
-	/** Targets of the call's class; a call without any is patient. */
+	/** Latency target of the call's class; undefined if the class has none. */
 	readonly target: LatencyTarget | undefined;
-	/** Backend servers that were tried for this call. */
+	/** Ids of the backend servers that were tried for this call. */
 	readonly excluded: ReadonlySet<string>;
 };
 
-/** How many leading blocks of the chain the backend server holds in its cache, as far as known. */
+/** Returns the number of leading blocks of the chain that the backend server is known to have cached. */
 export type CountCachedBlocks = (backendId: string, chain: readonly bigint[]) => number;
 
 export type RoutingContext = {
@@ -80,10 +80,10 @@
 	readonly backends: readonly BackendView[];
 	readonly findBackend: (id: string) => BackendView | undefined;
 	readonly countCachedBlocks: CountCachedBlocks;
-	/** Backend servers that hold the block, as far as known. */
+	/** Returns the backend servers that are known to hold the block. */
 	readonly listHolders: (hash: bigint) => ReadonlySet<string> | undefined;
 	readonly random: () => number;
 };
 
-/** A way of choosing; undefined when no candidate can take the call. */
+/** Chooses a backend server, or returns undefined if no candidate can take the call. */
 export type RoutingPolicy = (context: RoutingContext) => BackendView | undefined;
