--- a/packages/core/src/usage/count-starts.ts
+++ b/packages/core/src/usage/count-starts.ts
@@ -1,30 +1,33 @@
-/** Counts, by window of true time, the calls of each client account that backend servers began to run. */
+/** Counts the calls of each client account that started to run on backend servers, by window of true time. */
 
+/** Client account → number of started calls. */
 export type UsageCounts = Readonly<Record<string, number>>;
 
-/** Window → counts of this daemon. */
+/** Window index → counts of this daemon. */
 export type UsageTally = Map<number, Record<string, number>>;
 
-/** Windows that are kept: the last whole one, the running one, and some that a late successor may still report. */
-const keptWindows = 8;
+/** Number of windows that are kept: the current one, the last complete one, and older ones that a new leader may still have to report. */
+const retainedWindows = 8;
 
+/** Returns the index of the window that contains the time. */
 export const getWindow = (trueTimeMs: number, windowMs: number): number => Math.floor(trueTimeMs / windowMs);
 
-export const noteStart = (book: UsageTally, account: string, window: number): void => {
-	const counts = book.get(window) ?? {};
+/** Counts a started call and removes windows that are no longer kept. */
+export const noteStart = (tally: UsageTally, account: string, window: number): void => {
+	const counts = tally.get(window) ?? {};
 	counts[account] = (counts[account] ?? 0) + 1;
-	book.set(window, counts);
-	for (const old of book.keys()) {
-		if (old <= window - keptWindows) {
-			book.delete(old);
+	tally.set(window, counts);
+	for (const oldWindow of tally.keys()) {
+		if (oldWindow <= window - retainedWindows) {
+			tally.delete(oldWindow);
 		}
 	}
 };
 
-/** The sum over daemons for one window. */
-export const sumCounts = (books: Iterable<UsageCounts | undefined>): UsageCounts => {
+/** Sums the counts of all sources for one window. */
+export const sumCounts = (sourceCounts: Iterable<UsageCounts | undefined>): UsageCounts => {
 	const sum: Record<string, number> = {};
-	for (const counts of books) {
+	for (const counts of sourceCounts) {
 		for (const [account, count] of Object.entries(counts ?? {})) {
 			sum[account] = (sum[account] ?? 0) + count;
 		}
@@ -33,16 +36,17 @@
 	return sum;
 };
 
-/** Window → who counted: an incarnation of a daemon, or all of a zone → counts. */
+/** Window index → source of the counts (the incarnation of a daemon, or a whole zone) → counts. */
 export type UsageTable = Readonly<Record<string, Readonly<Record<string, UsageCounts>>>>;
 
 const zonePrefix = 'zone:';
 
-/** Names all daemons of a zone as the source of counts. */
+/** Returns the source name for the summed counts of all daemons of a zone. */
 export const toZoneSource = (zone: string): string => `${zonePrefix}${zone}`;
 
 const isZoneSource = (source: string): boolean => source.startsWith(zonePrefix);
 
+/** Merges two counts of the same source by taking the larger count of each account. */
 const pickLarger = (left: UsageCounts | undefined, right: UsageCounts): UsageCounts => {
 	const merged: Record<string, number> = {...left};
 	for (const [account, count] of Object.entries(right)) {
@@ -53,28 +57,28 @@
 };
 
 /**
- * Joins two tables. Counts of one incarnation only grow, so the larger one is the newer one, and
- * what was heard twice is not counted twice.
+ * Merges two tables. Counts of one source only grow, so the larger count is the newer one, and
+ * counts that arrive twice are not added twice.
  */
 export const mergeUsage = (left: UsageTable, right: UsageTable): UsageTable => {
-	const merged: Record<string, Record<string, UsageCounts>> = Object.fromEntries(Object.entries(left).map(([window, books]) => [window, {...books}]));
-	for (const [window, books] of Object.entries(right)) {
+	const merged: Record<string, Record<string, UsageCounts>> = Object.fromEntries(Object.entries(left).map(([window, countsBySource]) => [window, {...countsBySource}]));
+	for (const [window, countsBySource] of Object.entries(right)) {
 		const target = merged[window] ?? {};
 		merged[window] = target;
-		for (const [incarnation, counts] of Object.entries(books)) {
-			target[incarnation] = pickLarger(target[incarnation], counts);
+		for (const [source, counts] of Object.entries(countsBySource)) {
+			target[source] = pickLarger(target[source], counts);
 		}
 	}
 
 	return merged;
 };
 
-/** Where whole zones were counted, what single daemons counted is a part of it. */
+/** Sums the counts of a window. If there are counts of whole zones, they include those of single daemons, which are then ignored. */
 export const sumWindow = (sources: Readonly<Record<string, UsageCounts>>): UsageCounts => {
 	const entries = Object.entries(sources);
 	const zones = entries.filter(([source]) => isZoneSource(source));
 	return sumCounts((zones.length > 0 ? zones : entries).map(([, counts]) => counts));
 };
 
-/** Windows from `first` on. */
-export const dropEarlierWindows = (table: UsageTable, first: number): UsageTable => Object.fromEntries(Object.entries(table).filter(([window]) => Number(window) >= first));
+/** Returns the table without the windows before `firstWindow`. */
+export const dropEarlierWindows = (table: UsageTable, firstWindow: number): UsageTable => Object.fromEntries(Object.entries(table).filter(([window]) => Number(window) >= firstWindow));
