--- a/apps/daemon/src/observe-fleet.ts
+++ b/apps/daemon/src/observe-fleet.ts
@@ -1,7 +1,7 @@
 /** What fleet duty sees of the work: offers from the configuration, places in use from the engines' load reports. */
 import {type CloudInstance} from '@shallotpass/common/cloud-service.js';
 import {type Clock} from '@shallotpass/common/clock.js';
-import {foreseeDemand, smoothDemand, type SmoothedDemand} from '@shallotpass/core/fleet/smooth-demand.js';
+import {forecastDemand, smoothDemand, type SmoothedDemand} from '@shallotpass/core/fleet/smooth-demand.js';
 import {type Offer} from '@shallotpass/core/fleet/types.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
 import {type FleetDemand} from '@shallotpass/tasks/fleet-duty.js';
@@ -49,6 +49,6 @@
 		}
 
 		smoothed = smoothDemand(smoothed, used, clock.now(), smoothing);
-		return {offers, fixedPlaces, demandPlaces: foreseeDemand(smoothed, startMs)};
+		return {offers, fixedPlaces, demandPlaces: forecastDemand(smoothed, startMs)};
 	};
 };
--- a/apps/daemon/src/start-daemon.ts
+++ b/apps/daemon/src/start-daemon.ts
@@ -10,7 +10,7 @@
 import {makeAdmissionGate} from '@shallotpass/callers/admission-gate.js';
 import {startCallerListener} from '@shallotpass/callers/listener.js';
 import {type ConfigurationOffer} from '@shallotpass/core/configuration/types.js';
-import {makePlanFleet} from '@shallotpass/core/fleet/plan-fleet.js';
+import {makeFleetPlanner} from '@shallotpass/core/fleet/plan-fleet.js';
 import {rankByRendezvous} from '@shallotpass/core/routing/rank-by-rendezvous.js';
 import {makePeerClient} from '@shallotpass/peers/peer-client.js';
 import {splitAddress} from '@shallotpass/peers/peer-connection.js';
@@ -89,7 +89,7 @@
 
 /** As measured on two deployments (docs/design/fleet.md); an instance stays an hour at least, for its cache is worth more than a short rest. */
 const fleetPlan = {
-	headroom: 1.3, chance: 6, leastPlaces: 1, leastStayMs: 3_600_000,
+	headroom: 1.3, peakReserve: 6, minPlaces: 1, minRuntimeMs: 3_600_000,
 };
 
 export const startDaemon = async (options: DaemonOptions): Promise<Daemon> => {
@@ -276,7 +276,7 @@
 	const fleetOptions = {
 		environment,
 		log: platform.log,
-		plan: makePlanFleet(fleetPlan),
+		plan: makeFleetPlanner(fleetPlan),
 		availabilityZone: settings.instance.availabilityZone,
 		holder: `${settings.instance.id} ${epoch}`,
 		timing: defaultFleetTiming,
--- a/packages/admin/src/apply-configuration.ts
+++ b/packages/admin/src/apply-configuration.ts
@@ -7,7 +7,7 @@
 import {formatMistake, readToml} from '@shallotpass/common/toml-file.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {diffConfigurations, type ConfigurationChange} from '@shallotpass/core/configuration/diff-configurations.js';
-import {getAcceptedVersion} from '@shallotpass/core/configuration/fold-configuration.js';
+import {getAcceptedVersion} from '@shallotpass/core/configuration/configuration-state.js';
 import {type HistoryEntry} from '@shallotpass/core/configuration/types.js';
 import {type AdminServices} from './admin-services.js';
 
--- a/packages/callers/src/admission-gate.ts
+++ b/packages/callers/src/admission-gate.ts
@@ -3,8 +3,8 @@
 import {type Account} from '@shallotpass/common/configuration-schema.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
-import {hasPlace} from '@shallotpass/core/admission/adapt-concurrency.js';
-import {limitRate, shareLimit} from '@shallotpass/core/admission/limit-rate.js';
+import {hasCapacity} from '@shallotpass/core/admission/adapt-concurrency.js';
+import {limitRate, computeLimitShare} from '@shallotpass/core/admission/limit-rate.js';
 import {
 	dequeueRequest,
 	enqueueRequest,
@@ -103,13 +103,13 @@
 		}
 
 		const now = clock.now();
-		const sharePerSecond = shareLimit(perSecond, countMembers());
+		const sharePerSecond = computeLimitShare(perSecond, countMembers());
 		const decision = limitRate(paidAtByAccount.get(name) ?? 0, amount, now, {perSecond: sharePerSecond, burst: Math.max(1, sharePerSecond * burstSeconds)});
 		if (!decision.isAllowed) {
 			throw new ServingError(`client account ${name} is over its limit of ${perSecond} a second`, {kind: 'rate_limited', retryAt: decision.retryAt as Deadline});
 		}
 
-		paidAtByAccount.set(name, decision.paidAt);
+		paidAtByAccount.set(name, decision.theoreticalArrivalAt);
 	};
 
 	const chargeAccountLimits = ({team, account, work}: EntryRequest): void => {
@@ -209,7 +209,7 @@
 			id, account, rank, work, deadline, isPatient, firstTokenMs,
 		} = request;
 		const displaced = enqueueRequest(serviceQueue.queue, {
-			id, account: `${request.team}/${account.name}`, share: account.share, rank, work, waitingSince: clock.now(), deadline, isPatient, startBy: firstTokenMs === undefined ? undefined : clock.now() + (firstTokenMs * maxWaitingShare),
+			id, account: `${request.team}/${account.name}`, share: account.share, rank, work, waitingSince: clock.now(), deadline, isBackground: isPatient, startBy: firstTokenMs === undefined ? undefined : clock.now() + (firstTokenMs * maxWaitingShare),
 		}, settings.limits.maxWaiting);
 		if (displaced !== undefined) {
 			rejectWaiter(serviceQueue, displaced.id, new ServingError('too many requests wait already', {kind: 'over_capacity', retryAt: addMilliseconds(clock.now(), retryAfterMs)}));
@@ -241,7 +241,7 @@
 				throw new ServingError('no backend server serves this now', {kind: 'no_backend', retryAt: addMilliseconds(clock.now(), retryAfterMs)});
 			}
 
-			if (serviceQueue.queue.entries.length === 0 && hasPlace(serviceQueue.running, getCapacity(request.serviceId), request.isPatient)) {
+			if (serviceQueue.queue.entries.length === 0 && hasCapacity(serviceQueue.running, getCapacity(request.serviceId), request.isPatient)) {
 				serviceQueue.running++;
 			} else {
 				await waitInQueue(request, serviceQueue);
--- a/packages/callers/src/probation.test.ts
+++ b/packages/callers/src/probation.test.ts
@@ -3,8 +3,8 @@
 import {type Claim, type Outcome} from '@shallotpass/common/log-records.js';
 import {type LogRecord} from '@shallotpass/common/log-service.js';
 import {type Deadline, type LogOffset} from '@shallotpass/common/types.js';
-import {foldClaimRecord, makeClaimState} from '@shallotpass/core/claims/fold-claims.js';
-import {judgeClaim} from '@shallotpass/core/claims/judge-claim.js';
+import {applyClaimRecord, makeClaimState} from '@shallotpass/core/claims/claim-state.js';
+import {decideClaim} from '@shallotpass/core/claims/decide-claim.js';
 import {type ClaimState} from '@shallotpass/core/claims/types.js';
 import {acquireProbation} from './probation.js';
 import {type CallerServices} from './services.js';
@@ -24,7 +24,7 @@
 	let offset = 0;
 	const append = (claims: readonly Claim[], outcomes: readonly Outcome[]): void => {
 		const record: LogRecord = {offset: offset as LogOffset, appendedAt: fake.now, record: {kind: 'claims', claims, outcomes}};
-		state = foldClaimRecord(state, record);
+		state = applyClaimRecord(state, record);
 		offset++;
 	};
 
@@ -50,7 +50,7 @@
 					}
 
 					append([claim], []);
-					return judgeClaim({
+					return decideClaim({
 						state, claim, now: fake.now, logTime: fake.now, isOwnerGone: owner => fake.goneOwners.has(owner),
 					});
 				},
--- a/packages/callers/src/probation.ts
+++ b/packages/callers/src/probation.ts
@@ -3,7 +3,7 @@
  * both would be convicted although at most one caused it, and the innocent caller would be refused for an hour.
  * Daemons learn of each other's suspects too late, so a claim in the log decides which one may use the engine.
  */
-import {makeKeyName} from '@shallotpass/core/claims/fold-claims.js';
+import {makeKeyName} from '@shallotpass/core/claims/claim-state.js';
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {claimWithRetries, makeRunClaim} from './second-run.js';
--- a/packages/callers/src/relay-response.ts
+++ b/packages/callers/src/relay-response.ts
@@ -3,7 +3,7 @@
 import {streamEngine} from '@shallotpass/backends/engine-stream.js';
 import {fetchWhole} from '@shallotpass/backends/fetch-whole.js';
 import {getExpectedTokens} from '@shallotpass/backends/openai-format.js';
-import {isLate} from '@shallotpass/core/routing/learn-speed.js';
+import {isLate} from '@shallotpass/core/routing/speed-estimate.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
 import {type AttemptSignal} from './attempt-signal.js';
 import {getLatencyTarget} from './caller-call.js';
--- a/packages/callers/src/second-run.ts
+++ b/packages/callers/src/second-run.ts
@@ -9,7 +9,7 @@
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
 import {waitQuietly} from '@shallotpass/common/clock.js';
-import {makeKeyName} from '@shallotpass/core/claims/fold-claims.js';
+import {makeKeyName} from '@shallotpass/core/claims/claim-state.js';
 import {type ClaimAnswer} from '@shallotpass/peers/peer-methods.js';
 import {type CallerServices} from './services.js';
 
--- a/packages/callers/src/serve-claimed.ts
+++ b/packages/callers/src/serve-claimed.ts
@@ -13,7 +13,7 @@
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
 import {BackendCallError, callPlain} from '@shallotpass/backends/call-plain.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
-import {makeKeyName} from '@shallotpass/core/claims/fold-claims.js';
+import {makeKeyName} from '@shallotpass/core/claims/claim-state.js';
 import {type ClaimAnswer} from '@shallotpass/peers/peer-methods.js';
 import {makeAttemptSignal} from './attempt-signal.js';
 import {getHeader} from './caller-call.js';
--- a/packages/core/src/admission/adapt-concurrency.test.ts
+++ b/packages/core/src/admission/adapt-concurrency.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import {adaptConcurrency, hasPlace, makeConcurrencyLimit} from './adapt-concurrency.js';
+import {adaptConcurrency, hasCapacity, makeConcurrencyLimit} from './adapt-concurrency.js';
 
 test('a limit stays between 1 and its maximum and decreases at most once per 500 ms', () => {
 	// When an engine slows down, many answers report the overload at once. If each of them
@@ -13,7 +13,7 @@
 		for (const {isOverloaded, running, step} of samples) {
 			now += step;
 			const next = adaptConcurrency(state, {
-				now, running, isOverloaded, mostRunning: 64,
+				now, running, isOverloaded, maxConcurrency: 64,
 			});
 			assert.ok(next.limit >= 1 && next.limit <= 64);
 			if (next.limit < state.limit) {
@@ -34,7 +34,7 @@
 	for (let now = 0; now < 600_000; now += 100) {
 		const isOverloaded = limits[0]!.limit + limits[1]!.limit > capacity;
 		limits = limits.map(state => adaptConcurrency(state, {
-			now, running: state.limit, isOverloaded, mostRunning: 64,
+			now, running: state.limit, isOverloaded, maxConcurrency: 64,
 		}));
 	}
 
@@ -42,9 +42,9 @@
 });
 
 test('background requests leave capacity unused but can use at least one slot of a small capacity', () => {
-	assert.equal(hasPlace(0, 1, true), true);
-	assert.equal(hasPlace(1, 2, true), true);
-	assert.equal(hasPlace(17, 20, true), false);
-	assert.equal(hasPlace(17, 20, false), true);
-	assert.equal(hasPlace(0, 0, true), false);
+	assert.equal(hasCapacity(0, 1, true), true);
+	assert.equal(hasCapacity(1, 2, true), true);
+	assert.equal(hasCapacity(17, 20, true), false);
+	assert.equal(hasCapacity(17, 20, false), true);
+	assert.equal(hasCapacity(0, 0, true), false);
 });
--- a/packages/core/src/admission/adapt-concurrency.ts
+++ b/packages/core/src/admission/adapt-concurrency.ts
@@ -19,7 +19,7 @@
 	/** Whether calls are queued at the backend server or its answers miss their targets. */
 	readonly isOverloaded: boolean;
 	/** Upper bound of the limit. */
-	readonly mostRunning: number;
+	readonly maxConcurrency: number;
 };
 
 const decreaseFactor = 0.85;
@@ -46,7 +46,7 @@
 		return state;
 	}
 
-	return {...state, limit: Math.min(sample.mostRunning, state.limit + (1 / state.limit))};
+	return {...state, limit: Math.min(sample.maxConcurrency, state.limit + (1 / state.limit))};
 };
 
 /**
@@ -56,5 +56,5 @@
 const backgroundCapacityShare = 0.85;
 
 /** Whether another call may start, given the running calls and the capacity. */
-export const hasPlace = (running: number, capacity: number, isBackground: boolean): boolean =>
+export const hasCapacity = (running: number, capacity: number, isBackground: boolean): boolean =>
 	running < (isBackground ? Math.ceil(capacity * backgroundCapacityShare) : capacity);
--- a/packages/core/src/admission/judge-reach.ts
+++ b/packages/core/src/admission/compute-retry-after.ts
@@ -16,7 +16,7 @@
 };
 
 /** Returns the retry delay in seconds for a call that cannot be answered by its deadline, or undefined if it may be. */
-export const judgeReach = ({predictedMs, deadline, now, random}: DeadlinePrediction): number | undefined => {
+export const computeRetryAfter = ({predictedMs, deadline, now, random}: DeadlinePrediction): number | undefined => {
 	const remainingMs = deadline - now;
 	if (predictedMs <= remainingMs * unreachableFactor) {
 		return undefined;
--- a/packages/core/src/admission/limit-rate.ts
+++ b/packages/core/src/admission/limit-rate.ts
@@ -8,7 +8,7 @@
 
 export type RateDecision = {
 	/** State to store: the GCRA theoretical arrival time, in milliseconds. */
-	readonly paidAt: number;
+	readonly theoreticalArrivalAt: number;
 	readonly isAllowed: boolean;
 	/** Time at which the same amount would be allowed; `now` if it is allowed already. */
 	readonly retryAt: number;
@@ -21,7 +21,7 @@
 	const start = Math.max(theoreticalArrivalAt, now);
 	const isAllowed = start + cost - now <= Math.max(tolerance, cost);
 	return {
-		paidAt: isAllowed ? start + cost : theoreticalArrivalAt,
+		theoreticalArrivalAt: isAllowed ? start + cost : theoreticalArrivalAt,
 		isAllowed,
 		retryAt: isAllowed ? now : start + cost - Math.max(tolerance, cost),
 	};
@@ -32,4 +32,4 @@
  * callers evenly enough over the daemons. A partitioned daemon keeps using the last member count
  * that it knew.
  */
-export const shareLimit = (limit: number, memberCount: number): number => limit / Math.max(1, memberCount);
+export const computeLimitShare = (limit: number, memberCount: number): number => limit / Math.max(1, memberCount);
--- a/packages/core/src/admission/waiting-queue.test.ts
+++ b/packages/core/src/admission/waiting-queue.test.ts
@@ -5,11 +5,11 @@
 } from './waiting-queue.js';
 
 const makeRequest = (id: string, change: Partial<WaitingRequest> = {}): WaitingRequest => ({
-	id, account: 'a', share: 1, rank: 0, work: 100, waitingSince: 0, deadline: 1e9, isPatient: false, ...change,
+	id, account: 'a', share: 1, rank: 0, work: 100, waitingSince: 0, deadline: 1e9, isBackground: false, ...change,
 });
 
 const interactive = {rank: 0, startBy: 1e6};
-const background = {rank: 10, isPatient: true};
+const background = {rank: 10, isBackground: true};
 
 test('a background request starts even if interactive requests leave only the reserved capacity free', () => {
 	// Under a constant load of interactive requests, a background request would otherwise wait
--- a/packages/core/src/admission/waiting-queue.ts
+++ b/packages/core/src/admission/waiting-queue.ts
@@ -1,5 +1,5 @@
 /** Bounded queue of requests that wait for a backend server, ordered by class rank and then by weighted fair queueing between accounts. */
-import {hasPlace} from './adapt-concurrency.js';
+import {hasCapacity} from './adapt-concurrency.js';
 
 export type WaitingRequest = {
 	readonly id: string;
@@ -13,7 +13,7 @@
 	/** Latest start time that meets the latency target, in milliseconds since the epoch; absent without a target. */
 	readonly startBy?: number;
 	/** Whether the request has no latency target and uses only spare capacity. */
-	readonly isPatient: boolean;
+	readonly isBackground: boolean;
 };
 
 type QueueEntry = {
@@ -60,7 +60,7 @@
 /** Adds a request. If the queue exceeds its capacity, removes and returns the least urgent request, which may be the new one. */
 export const enqueueRequest = (queue: WaitingQueue, request: WaitingRequest, capacity: number): WaitingRequest | undefined => {
 	const start = Math.max(queue.virtualTime, queue.accountTags.get(request.account) ?? 0);
-	const {rank, startBy = Number.POSITIVE_INFINITY, waitingSince, isPatient: isBackground} = request;
+	const {rank, startBy = Number.POSITIVE_INFINITY, waitingSince, isBackground} = request;
 	const entry: QueueEntry = {
 		request, rank, startBy, waitingSince, isBackground, finishTag: start + (request.work / request.share),
 	};
@@ -92,9 +92,9 @@
 
 const pickNext = (queue: WaitingQueue, {now, running, capacity}: CapacityState): QueueEntry | undefined => {
 	const isOldestFirst = queue.dequeuedSinceOldestFirst >= oldestFirstInterval - 1;
-	const hasInteractiveCapacity = hasPlace(running, capacity, false);
+	const hasInteractiveCapacity = hasCapacity(running, capacity, false);
 	// The oldest request may use the reserved capacity too; otherwise background requests would starve under constant interactive load.
-	const hasBackgroundCapacity = isOldestFirst ? hasInteractiveCapacity : hasPlace(running, capacity, true);
+	const hasBackgroundCapacity = isOldestFirst ? hasInteractiveCapacity : hasCapacity(running, capacity, true);
 	let best: QueueEntry | undefined;
 	for (const entry of queue.entries) {
 		if (!(entry.isBackground ? hasBackgroundCapacity : hasInteractiveCapacity)) {
--- a/packages/core/src/calls/index-configuration.ts
+++ b/packages/core/src/calls/index-configuration.ts
@@ -28,7 +28,7 @@
 	return byHost;
 };
 
-export const toIndexedConfiguration = (configuration: ServingConfiguration): IndexedConfiguration => ({
+export const indexConfiguration = (configuration: ServingConfiguration): IndexedConfiguration => ({
 	configuration,
 	routesByHost: groupRoutes(configuration.routes),
 	servicesByName: new Map(configuration.services.map(service => [service.name, service])),
--- a/packages/core/src/calls/types.ts
+++ b/packages/core/src/calls/types.ts
@@ -29,7 +29,7 @@
 	/** 0 is the most urgent. */
 	readonly rank: number;
 	/** Maximum number of backend servers that may run the call. */
-	readonly attemptsAllowed: number;
+	readonly maxAttempts: number;
 	readonly promptTokens: number;
 	readonly outputTokens: number;
 	readonly promptParts: readonly PromptPart[];
@@ -38,4 +38,4 @@
 export const isStream = (repeatability: Repeatability): boolean => repeatability === 'resumable_stream' || repeatability === 'stream_once';
 
 /** Whether a call that may have run already can be sent to another backend server. */
-export const mayRunAgain = (repeatability: Repeatability): boolean => repeatability === 'idempotent' || repeatability === 'resumable_stream';
+export const isRepeatable = (repeatability: Repeatability): boolean => repeatability === 'idempotent' || repeatability === 'resumable_stream';
--- a/packages/core/src/claims/fold-claims.ts
+++ b/packages/core/src/claims/claim-state.ts
@@ -56,7 +56,7 @@
  * Applies the next record. The state is mutated: it holds all keys of the retention period, too many to copy for
  * each record.
  */
-export const foldClaimRecord = (state: ClaimState, logRecord: LogRecord): ClaimState => {
+export const applyClaimRecord = (state: ClaimState, logRecord: LogRecord): ClaimState => {
 	if (logRecord.offset < state.foldedTo) {
 		return state;
 	}
@@ -78,7 +78,7 @@
  * are older than the oldest record that is left. Unknown keys are therefore unsafe until that record is older than
  * the retention period of keys.
  */
-export const noteClaimTrim = (state: ClaimState, earliest: LogOffset, oldestLeftAt: number, keyRetentionMs: number): ClaimState => {
+export const applyClaimTrim = (state: ClaimState, earliest: LogOffset, oldestLeftAt: number, keyRetentionMs: number): ClaimState => {
 	if (earliest <= state.foldedTo) {
 		return state;
 	}
@@ -87,7 +87,7 @@
 };
 
 /** Deletes keys and voided claims that are older than the retention period. */
-export const forgetOldKeys = (state: ClaimState, now: number, keyRetentionMs: number): void => {
+export const deleteExpiredKeys = (state: ClaimState, now: number, keyRetentionMs: number): void => {
 	let count = 0;
 	for (const name of state.order) {
 		const existing = state.keys.get(name);
--- a/packages/core/src/claims/claims.test.ts
+++ b/packages/core/src/claims/claims.test.ts
@@ -5,11 +5,11 @@
 import {type LogOffset} from '@shallotpass/common/types.js';
 import fc from 'fast-check';
 import {
-	foldClaimRecord, forgetOldKeys, makeClaimState, makeKeyName, noteClaimTrim,
-} from './fold-claims.js';
-import {judgeClaim} from './judge-claim.js';
+	applyClaimRecord, deleteExpiredKeys, makeClaimState, makeKeyName, applyClaimTrim,
+} from './claim-state.js';
+import {decideClaim} from './decide-claim.js';
 import {pickClaimStream, pickClaimWriter} from './pick-claim-shard.js';
-import {type ClaimState, type ClaimVerdict} from './types.js';
+import {type ClaimState, type ClaimDecision} from './types.js';
 
 const makeClaim = (id: string, key = 'k', digest = 'd'): Claim => ({
 	id, account: 'a', service: 's', key, digest, owner: `owner-${id}`, ownerEpoch: '1', dispatchBy: 1000, answerBy: 10_000,
@@ -24,14 +24,14 @@
 const applyAll = (records: readonly LogRecord[]): ClaimState => {
 	let state = makeClaimState();
 	for (const record of records) {
-		state = foldClaimRecord(state, record);
+		state = applyClaimRecord(state, record);
 	}
 
 	return state;
 };
 
-const judge = (state: ClaimState, claim: Claim, now = 0, gone: readonly string[] = []): ClaimVerdict['kind'] =>
-	judgeClaim({
+const judge = (state: ClaimState, claim: Claim, now = 0, gone: readonly string[] = []): ClaimDecision['kind'] =>
+	decideClaim({
 		state, claim, now, logTime: now, isOwnerGone: owner => gone.includes(owner),
 	}).kind;
 
@@ -44,8 +44,8 @@
 	readonly now?: number;
 	readonly gone?: readonly string[];
 	/** Decisions for the first claim's owner and for a second caller with the same key. */
-	readonly first: ClaimVerdict['kind'];
-	readonly second: ClaimVerdict['kind'];
+	readonly first: ClaimDecision['kind'];
+	readonly second: ClaimDecision['kind'];
 };
 
 /** The steps between accepting a call and answering it, and the decision for each caller when the owner ends at that step. */
@@ -114,16 +114,16 @@
 test('unknown keys are unsafe for the retention period after records were trimmed unread', () => {
 	// The log trims records earlier than configured, and a new daemon starts. A key that it doesn't know
 	// may have been used, so running the call could execute it a second time.
-	const state = noteClaimTrim(makeClaimState(), 5 as LogOffset, 1000, 500);
+	const state = applyClaimTrim(makeClaimState(), 5 as LogOffset, 1000, 500);
 	assert.equal(judge(state, first, 1400), 'unsafe');
 	assert.equal(judge(state, first, 1500), 'absent');
-	const withKnownKey = noteClaimTrim(applyAll([makeRecord(0, [first])]), 1 as LogOffset, 1000, 500);
+	const withKnownKey = applyClaimTrim(applyAll([makeRecord(0, [first])]), 1 as LogOffset, 1000, 500);
 	assert.equal(judge(withKnownKey, second, 1400), 'running');
 });
 
 test('keys are deleted after the retention period and not before', () => {
 	const state = applyAll([makeRecord(0, [first]), makeRecord(1, [makeClaim('3', 'other')])]);
-	forgetOldKeys(state, 500, 500);
+	deleteExpiredKeys(state, 500, 500);
 	assert.equal(state.keys.size, 1);
 	assert.equal(judge(state, second, 500), 'absent');
 });
@@ -144,7 +144,7 @@
 				declaredUnsent.add(claim.id);
 			}
 
-			state = foldClaimRecord(state, kind === 'claim' ? makeRecord(offset, [claim]) : makeRecord(offset, [], [makeOutcome(kind, claim)]));
+			state = applyClaimRecord(state, kind === 'claim' ? makeRecord(offset, [claim]) : makeRecord(offset, [], [makeOutcome(kind, claim)]));
 			for (const candidate of claims) {
 				if (judge(state, candidate) === 'won' && !declaredUnsent.has(candidate.id)) {
 					winners.add(candidate.id);
--- a/packages/core/src/claims/judge-claim.ts
+++ b/packages/core/src/claims/decide-claim.ts
@@ -1,7 +1,7 @@
 /** Decides on a claim from the state of its stream. */
 import {type Claim} from '@shallotpass/common/log-records.js';
-import {makeKeyName} from './fold-claims.js';
-import {type ClaimState, type ClaimVerdict} from './types.js';
+import {makeKeyName} from './claim-state.js';
+import {type ClaimState, type ClaimDecision} from './types.js';
 
 type ClaimOptions = {
 	readonly state: ClaimState;
@@ -22,7 +22,7 @@
  * is unknown: the call may have been sent, and sending it again could execute it twice. Fencing tokens don't
  * prevent this, because the first call may have run before the backend server saw the second token.
  */
-export const judgeClaim = (options: ClaimOptions): ClaimVerdict => {
+export const decideClaim = (options: ClaimOptions): ClaimDecision => {
 	const {state, claim, now, logTime, isOwnerGone} = options;
 	const existing = state.keys.get(makeKeyName(claim));
 	if (existing === undefined || (existing.outcome?.kind === 'not_sent' && existing.claim.id !== claim.id)) {
--- a/packages/core/src/claims/types.ts
+++ b/packages/core/src/claims/types.ts
@@ -29,7 +29,7 @@
 };
 
 /** Decision on a caller's claim. */
-export type ClaimVerdict =
+export type ClaimDecision =
 	| {readonly kind: 'won'; readonly fencing: LogOffset}
 	| {readonly kind: 'reused'}
 	| {readonly kind: 'answered'; readonly outcomeOffset: LogOffset}
--- a/packages/core/src/configuration/fold-configuration.ts
+++ b/packages/core/src/configuration/configuration-state.ts
@@ -147,7 +147,7 @@
 };
 
 /** Applies the next record of the stream. A record that was applied before changes nothing. */
-export const foldConfigurationRecord = (state: ConfigurationState, logRecord: LogRecord): ConfigurationState => {
+export const applyConfigurationRecord = (state: ConfigurationState, logRecord: LogRecord): ConfigurationState => {
 	if (logRecord.offset < state.foldedTo) {
 		return state;
 	}
@@ -162,7 +162,7 @@
 };
 
 /** Notes that records before `earliest` were trimmed. If some of them were not read, opens a gap and keeps the accepted versions. */
-export const noteTrim = (state: ConfigurationState, earliest: LogOffset): ConfigurationState => {
+export const applyTrim = (state: ConfigurationState, earliest: LogOffset): ConfigurationState => {
 	if (earliest <= state.foldedTo) {
 		return state;
 	}
@@ -175,7 +175,7 @@
  * restated long before they are trimmed, so a team without a restatement has its first record still in the log. The
  * oldest record that is left is therefore accepted, whatever its base.
  */
-export const settleGap = (state: ConfigurationState): ConfigurationState => {
+export const closeGap = (state: ConfigurationState): ConfigurationState => {
 	let next = state;
 	for (const team of new Set(state.gap?.pending.map(item => item.team))) {
 		const accepted = getAcceptedVersion(next, team);
--- a/packages/core/src/configuration/configuration.test.ts
+++ b/packages/core/src/configuration/configuration.test.ts
@@ -4,10 +4,10 @@
 import {type LogOffset} from '@shallotpass/common/types.js';
 import fc from 'fast-check';
 import {
-	emptyConfigurationState, foldConfigurationRecord, getAcceptedVersion, noteTrim, settleGap,
-} from './fold-configuration.js';
+	emptyConfigurationState, applyConfigurationRecord, getAcceptedVersion, applyTrim, closeGap,
+} from './configuration-state.js';
 import {planRestatements} from './plan-restatement.js';
-import {makeOffer, startFromOffer, takeOffer} from './take-offer.js';
+import {makeOffer, initializeFromOffer, applyOffer} from './exchange-offers.js';
 import {type ConfigurationState} from './types.js';
 
 const teams = ['default', 'other'];
@@ -25,7 +25,7 @@
 const applyAll = (state: ConfigurationState, records: readonly LogRecord[]): ConfigurationState => {
 	let next = state;
 	for (const record of records) {
-		next = foldConfigurationRecord(next, record);
+		next = applyConfigurationRecord(next, record);
 	}
 
 	return next;
@@ -44,7 +44,7 @@
 		const base = hasArbitraryBase ? offset - lag : known[Math.max(0, known.length - 1 - (lag === 3 ? 1 : 0))]!;
 		const record = makeRecord(offset, {team, base});
 		records.push(record);
-		state = foldConfigurationRecord(state, record);
+		state = applyConfigurationRecord(state, record);
 		known.push(getAcceptedVersion(state, team));
 	}
 
@@ -63,12 +63,12 @@
 		let state = emptyConfigurationState;
 		for (const record of records) {
 			const before = listVersions(state);
-			state = foldConfigurationRecord(state, record);
+			state = applyConfigurationRecord(state, record);
 			for (const team of teams) {
 				assert.ok(listVersions(state)[team]! >= before[team]!);
 			}
 
-			assert.equal(foldConfigurationRecord(state, record), state);
+			assert.equal(applyConfigurationRecord(state, record), state);
 		}
 	}), {seed: 7});
 });
@@ -81,7 +81,7 @@
 		for (const [reader, sender, count] of steps) {
 			const before = listVersions(states[reader]!);
 			const read = applyAll(states[reader]!, records.slice(states[reader]!.foldedTo, states[reader]!.foldedTo + count));
-			states[reader] = takeOffer(read, makeOffer(states[sender]!), 0);
+			states[reader] = applyOffer(read, makeOffer(states[sender]!), 0);
 			for (const team of teams) {
 				assert.ok(listVersions(states[reader])[team]! >= before[team]!);
 			}
@@ -103,17 +103,17 @@
 		const earliest = Math.min(trimmedCount, records.length);
 		const at = earliest + Math.floor((records.length - earliest) / 2);
 		const author = applyAll(emptyConfigurationState, records.slice(0, at));
-		let reader = applyAll(noteTrim(emptyConfigurationState, earliest as LogOffset), records.slice(earliest));
+		let reader = applyAll(applyTrim(emptyConfigurationState, earliest as LogOffset), records.slice(earliest));
 		if (usesPeer) {
-			reader = takeOffer(reader, makeOffer(author), 0);
+			reader = applyOffer(reader, makeOffer(author), 0);
 		} else {
 			const restatements = planRestatements({
-				state: author, now: 1e9, ageMs: 0, place: 0,
+				state: author, now: 1e9, ageMs: 0, memberIndex: 0,
 			});
 			reader = applyAll(reader, restatements.map((record, index) => ({
 				offset: (records.length + index) as LogOffset, appendedAt: 0, record,
 			})));
-			reader = settleGap(reader);
+			reader = closeGap(reader);
 		}
 
 		for (const team of teams) {
@@ -127,7 +127,7 @@
 test('a restatement never replaces a newer version', () => {
 	const old = applyAll(emptyConfigurationState, [makeRecord(0, {team: 'default', base: -1})]);
 	const [restatement] = planRestatements({
-		state: old, now: 1e9, ageMs: 0, place: 0,
+		state: old, now: 1e9, ageMs: 0, memberIndex: 0,
 	});
 	const state = applyAll(emptyConfigurationState, [
 		makeRecord(0, {team: 'default', base: -1}),
@@ -140,24 +140,24 @@
 test('the first member restates, and the others wait and see its restatement', () => {
 	const state = applyAll(emptyConfigurationState, [makeRecord(0, {team: 'default', base: -1})]);
 	const plan = (place: number, now: number) => planRestatements({
-		state, now, ageMs: 1000, place,
+		state, now, ageMs: 1000, memberIndex: place,
 	}).length;
 	assert.deepEqual([plan(0, 999), plan(0, 1000), plan(1, 1000), plan(1, 40_000)], [0, 1, 0, 1]);
 	const [record] = planRestatements({
-		state, now: 1000, ageMs: 1000, place: 0,
+		state, now: 1000, ageMs: 1000, memberIndex: 0,
 	});
 	const restated = applyAll(state, [{offset: 1 as LogOffset, appendedAt: 1000, record}]);
 	assert.equal(planRestatements({
-		state: restated, now: 40_000, ageMs: 1000, place: 1,
+		state: restated, now: 40_000, ageMs: 1000, memberIndex: 1,
 	}).length, 1);
 	assert.equal(planRestatements({
-		state: restated, now: 1900, ageMs: 1000, place: 1,
+		state: restated, now: 1900, ageMs: 1000, memberIndex: 1,
 	}).length, 0);
 });
 
 test('unknown records on the stream are skipped', () => {
 	fc.assert(fc.property(fc.anything(), unknownRecord => {
-		const state = foldConfigurationRecord(emptyConfigurationState, {offset: 0 as LogOffset, appendedAt: 0, record: unknownRecord});
+		const state = applyConfigurationRecord(emptyConfigurationState, {offset: 0 as LogOffset, appendedAt: 0, record: unknownRecord});
 		assert.deepEqual({foldedTo: state.foldedTo, accepted: state.accepted.size}, {foldedTo: 1, accepted: 0});
 	}), {seed: 7});
 });
@@ -166,9 +166,9 @@
 	// A new daemon gets the newest version with a probe before the peer that it asked for a start
 	// replies with an older state. It must not return to an older version.
 	fc.assert(fc.property(logs, fc.nat(30), fc.nat(30), (records, aheadCount, offerCount) => {
-		const ahead = takeOffer(emptyConfigurationState, makeOffer(applyAll(emptyConfigurationState, records.slice(0, aheadCount))), 0);
+		const ahead = applyOffer(emptyConfigurationState, makeOffer(applyAll(emptyConfigurationState, records.slice(0, aheadCount))), 0);
 		const offer = makeOffer(applyAll(emptyConfigurationState, records.slice(0, offerCount)));
-		const started = startFromOffer(ahead, offer, 0);
+		const started = initializeFromOffer(ahead, offer, 0);
 		for (const team of teams) {
 			assert.ok(getAcceptedVersion(started, team) >= getAcceptedVersion(ahead, team));
 		}
--- a/packages/core/src/configuration/take-offer.ts
+++ b/packages/core/src/configuration/exchange-offers.ts
@@ -1,5 +1,5 @@
 /** Exchange of configurations between daemons, so that a daemon that can't reach the log still gets new versions. */
-import {getAcceptedVersion, settleTeam} from './fold-configuration.js';
+import {getAcceptedVersion, settleTeam} from './configuration-state.js';
 import {type ConfigurationOffer, type ConfigurationState} from './types.js';
 
 /** Makes the offer that this daemon sends to its peers. */
@@ -22,7 +22,7 @@
  * Adopts the versions of an offer that are newer than the known ones, never older ones. If this daemon has a gap and
  * the peer has read the log past the trim, the offer settles all teams and closes the gap.
  */
-export const takeOffer = (state: ConfigurationState, offer: ConfigurationOffer, now: number): ConfigurationState => {
+export const applyOffer = (state: ConfigurationState, offer: ConfigurationOffer, now: number): ConfigurationState => {
 	let next = state;
 	for (const accepted of offer.accepted) {
 		if (accepted.version > getAcceptedVersion(next, accepted.team)) {
@@ -52,9 +52,9 @@
  * Initializes a daemon that has not read the log from a peer's offer, so that it continues reading where the peer
  * stopped instead of at the start of the log. Newer versions that it has received from other peers are kept.
  */
-export const startFromOffer = (state: ConfigurationState, offer: ConfigurationOffer, now: number): ConfigurationState => {
+export const initializeFromOffer = (state: ConfigurationState, offer: ConfigurationOffer, now: number): ConfigurationState => {
 	if (state.foldedTo !== 0 || !offer.isComplete) {
-		return takeOffer(state, offer, now);
+		return applyOffer(state, offer, now);
 	}
 
 	const started: ConfigurationState = {
@@ -63,5 +63,5 @@
 		history: offer.history,
 		lastWrittenAt: new Map(offer.accepted.map(accepted => [accepted.team, now])),
 	};
-	return takeOffer(started, makeOffer(state), now);
+	return applyOffer(started, makeOffer(state), now);
 };
--- a/packages/core/src/configuration/plan-restatement.ts
+++ b/packages/core/src/configuration/plan-restatement.ts
@@ -8,7 +8,7 @@
 	/** Age at which a version is restated, in milliseconds. */
 	readonly ageMs: number;
 	/** Index of this daemon among the members, from 0. Daemons with a higher index wait longer. */
-	readonly place: number;
+	readonly memberIndex: number;
 };
 
 /** Additional wait per member index, so that one member writes the restatement and the others see it in time. */
@@ -16,13 +16,13 @@
 
 /** Returns the restatements that this daemon should append now. */
 export const planRestatements = (options: RestatementOptions): RestatementRecord[] => {
-	const {state, now, ageMs, place} = options;
+	const {state, now, ageMs, memberIndex} = options;
 	if (state.gap !== undefined) {
 		return [];
 	}
 
 	return [...state.accepted.values()]
-		.filter(accepted => now - (state.lastWrittenAt.get(accepted.team) ?? now) >= ageMs + (place * waitPerMemberMs))
+		.filter(accepted => now - (state.lastWrittenAt.get(accepted.team) ?? now) >= ageMs + (memberIndex * waitPerMemberMs))
 		.map(accepted => ({
 			kind: 'restatement',
 			...accepted,
--- a/packages/core/src/directory/take-from-peer.test.ts
+++ b/packages/core/src/directory/adopt-peer-directory.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import {takePeerDirectory, toPeerBackends} from './take-from-peer.js';
+import {adoptPeerDirectory, toPeerBackends} from './adopt-peer-directory.js';
 import {type BackendEntry, type Directory} from './types.js';
 
 const makeEntry = (id: string): BackendEntry => ({
@@ -16,13 +16,13 @@
 
 test('a backend server that has left is not restored from a peer that was disconnected in the meantime', () => {
 	const peer = makeDirectory(20, {left: 2700, stays: undefined});
-	const adopted = takePeerDirectory(makeDirectory(12, {stays: undefined}), {backends: toPeerBackends(peer, 1000), next: 20}, 5000);
+	const adopted = adoptPeerDirectory(makeDirectory(12, {stays: undefined}), {backends: toPeerBackends(peer, 1000), next: 20}, 5000);
 	assert.deepEqual(listIds(adopted), ['stays']);
 });
 
 test('a backend server whose entry expired while the store was down keeps the grace period of the peer', () => {
 	const peer = makeDirectory(20, {expired: 2700});
-	const adopted = takePeerDirectory(makeDirectory(12, {expired: undefined}), {backends: toPeerBackends(peer, 1000), next: 20}, 5000);
+	const adopted = adoptPeerDirectory(makeDirectory(12, {expired: undefined}), {backends: toPeerBackends(peer, 1000), next: 20}, 5000);
 	assert.equal(adopted.backends.get('expired')?.missingUntil, 6700);
 	assert.equal(adopted.next, 20);
 });
--- a/packages/core/src/directory/take-from-peer.ts
+++ b/packages/core/src/directory/adopt-peer-directory.ts
@@ -24,7 +24,7 @@
  * isn't added: the peer may have been disconnected while this daemon saw the entry removed, and the backend server
  * would get calls after it has left.
  */
-export const takePeerDirectory = (own: Directory, peer: PeerDirectory, now: number): Directory => {
+export const adoptPeerDirectory = (own: Directory, peer: PeerDirectory, now: number): Directory => {
 	const backends = new Map<string, KnownBackend>();
 	for (const {entry, offset, missingForMs} of peer.backends) {
 		if (missingForMs === undefined) {
--- a/packages/core/src/directory/fold-directory.ts
+++ b/packages/core/src/directory/directory-state.ts
@@ -44,7 +44,7 @@
 };
 
 /** Applies records to the directory. Records that were applied before and outdated entries change nothing. */
-export const foldDirectory = (directory: Directory, records: readonly DirectoryRecord[], context: ApplyContext): Directory => {
+export const applyDirectoryRecords = (directory: Directory, records: readonly DirectoryRecord[], context: ApplyContext): Directory => {
 	const backends = new Map(directory.backends);
 	let {next} = directory;
 	for (const record of records) {
@@ -69,7 +69,7 @@
 };
 
 /** Replaces the directory with a complete listing. Entries that are not listed count as removed. */
-export const takeListing = (directory: Directory, records: readonly DirectoryRecord[], endOffset: number, context: ApplyContext): Directory => {
+export const applyListing = (directory: Directory, records: readonly DirectoryRecord[], endOffset: number, context: ApplyContext): Directory => {
 	const listed = new Set(records.map(record => record.id));
 	const missing = [...directory.backends.keys()]
 		.filter(id => !listed.has(id))
@@ -80,12 +80,12 @@
 	}
 
 	// A listing holds each entry with the offset of its newest record, in no particular order.
-	const applied = foldDirectory({backends: remaining, next: 0}, records.toSorted((left, right) => left.offset - right.offset), context);
+	const applied = applyDirectoryRecords({backends: remaining, next: 0}, records.toSorted((left, right) => left.offset - right.offset), context);
 	return {backends: applied.backends, next: Math.max(endOffset, directory.next)};
 };
 
 /** Drops entries that are still missing at the end of their grace period. */
-export const dropMissing = (directory: Directory, now: number): Directory => {
+export const dropExpired = (directory: Directory, now: number): Directory => {
 	const expired = [...directory.backends].filter(([, known]) => known.missingUntil !== undefined && known.missingUntil <= now);
 	if (expired.length === 0) {
 		return directory;
--- a/packages/core/src/directory/directory.test.ts
+++ b/packages/core/src/directory/directory.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import {
-	type DirectoryRecord, dropMissing, foldDirectory, takeListing,
-} from './fold-directory.js';
+	type DirectoryRecord, dropExpired, applyDirectoryRecords, applyListing,
+} from './directory-state.js';
 import {type BackendEntry, type Directory, emptyDirectory} from './types.js';
 
 const makeEntry = (id: string, changes: Partial<BackendEntry> = {}): BackendEntry => ({
@@ -19,32 +19,32 @@
 test('an entry that is removed while the store is available is dropped at once', () => {
 	// Some backend servers leave without notice and their entry is removed. A daemon that had itself been
 	// disconnected kept such servers for two more seconds and sent them calls after they had left.
-	const directory = foldDirectory(emptyDirectory, [makeEntryRecord(0, 'x'), makeRemovalRecord(1, 'x')], storeAvailable);
+	const directory = applyDirectoryRecords(emptyDirectory, [makeEntryRecord(0, 'x'), makeRemovalRecord(1, 'x')], storeAvailable);
 	assert.deepEqual(listIds(directory), []);
 });
 
 test('an entry that expired while the store was down is kept until its backend server could write it again', () => {
 	// The store is down for longer than three heartbeats, so all entries expire although all backend
 	// servers are alive. If they were dropped, no call could be sent for a second or two.
-	const known = foldDirectory(emptyDirectory, [makeEntryRecord(0, 'x'), makeEntryRecord(1, 'y')], storeAvailable);
-	const expired = foldDirectory(known, [makeRemovalRecord(2, 'x'), makeRemovalRecord(3, 'y')], {now: 6000, lapsesUntil: 7700});
+	const known = applyDirectoryRecords(emptyDirectory, [makeEntryRecord(0, 'x'), makeEntryRecord(1, 'y')], storeAvailable);
+	const expired = applyDirectoryRecords(known, [makeRemovalRecord(2, 'x'), makeRemovalRecord(3, 'y')], {now: 6000, lapsesUntil: 7700});
 	assert.deepEqual(listIds(expired), ['x', 'y']);
-	const rewritten = foldDirectory(expired, [makeEntryRecord(4, 'x', {sequence: 9})], {now: 7000, lapsesUntil: 7700});
-	assert.deepEqual(listIds(dropMissing(rewritten, 7699)), ['y', 'x'].toSorted());
-	assert.deepEqual(listIds(dropMissing(rewritten, 7700)), ['x']);
+	const rewritten = applyDirectoryRecords(expired, [makeEntryRecord(4, 'x', {sequence: 9})], {now: 7000, lapsesUntil: 7700});
+	assert.deepEqual(listIds(dropExpired(rewritten, 7699)), ['y', 'x'].toSorted());
+	assert.deepEqual(listIds(dropExpired(rewritten, 7700)), ['x']);
 });
 
 test('a listing replaces the directory but does not restore an older incarnation', () => {
-	const known = foldDirectory(emptyDirectory, [makeEntryRecord(0, 'x', {startedAt: 2000}), makeEntryRecord(1, 'y')], storeAvailable);
-	const listed = takeListing(known, [makeEntryRecord(7, 'x', {startedAt: 1000, isLeaving: true}), makeEntryRecord(5, 'z')], 9, storeAvailable);
+	const known = applyDirectoryRecords(emptyDirectory, [makeEntryRecord(0, 'x', {startedAt: 2000}), makeEntryRecord(1, 'y')], storeAvailable);
+	const listed = applyListing(known, [makeEntryRecord(7, 'x', {startedAt: 1000, isLeaving: true}), makeEntryRecord(5, 'z')], 9, storeAvailable);
 	assert.deepEqual(listIds(listed).toSorted(), ['x', 'z']);
 	assert.equal(listed.backends.get('x')!.entry.startedAt, 2000);
 	assert.equal(listed.next, 9);
 });
 
 test('an unreadable entry changes nothing, and a record is applied only once', () => {
-	const known = foldDirectory(emptyDirectory, [makeEntryRecord(0, 'x'), {offset: 1, id: 'x', entry: 'unreadable'}], storeAvailable);
+	const known = applyDirectoryRecords(emptyDirectory, [makeEntryRecord(0, 'x'), {offset: 1, id: 'x', entry: 'unreadable'}], storeAvailable);
 	assert.deepEqual(listIds(known), ['x']);
-	const again = foldDirectory(known, [makeRemovalRecord(0, 'x')], storeAvailable);
+	const again = applyDirectoryRecords(known, [makeRemovalRecord(0, 'x')], storeAvailable);
 	assert.deepEqual(listIds(again), ['x']);
 });
--- a/packages/core/src/duties/fold-lease.test.ts
+++ b/packages/core/src/duties/lease.test.ts
@@ -1,23 +1,23 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import {
-	isLeaseFree, type Lease, mayTakeLease, nobody, takeoverMarginMs, watchLease,
-} from './fold-lease.js';
+	isLeaseFree, type Lease, canTakeLease, releasedIncarnation, takeoverMarginMs, observeLease,
+} from './lease.js';
 
 const leaseMs = 3000;
 
 test('the takeover wait starts when the lease was first learned of, not when its record is first read', () => {
-	const first = watchLease(undefined, {offset: 5, disagreements: 0}, 1000);
+	const first = observeLease(undefined, {offset: 5, clockDisagreements: 0}, 1000);
 	// The holder has stopped, and its record is read from the store for the first time 1.2 s later.
-	const second = watchLease(first, {offset: 5, disagreements: 0}, 2200);
-	assert.equal(mayTakeLease(second, leaseMs, 1000 + leaseMs + takeoverMarginMs - 1), false);
-	assert.equal(mayTakeLease(second, leaseMs, 1000 + leaseMs + takeoverMarginMs), true);
+	const second = observeLease(first, {offset: 5, clockDisagreements: 0}, 2200);
+	assert.equal(canTakeLease(second, leaseMs, 1000 + leaseMs + takeoverMarginMs - 1), false);
+	assert.equal(canTakeLease(second, leaseMs, 1000 + leaseMs + takeoverMarginMs), true);
 });
 
 test('the takeover wait starts again after a renewal or a disagreement of the local clocks', () => {
-	const first = watchLease(undefined, {offset: 5, disagreements: 0}, 1000);
-	assert.equal(watchLease(first, {offset: 6, disagreements: 0}, 4000).seenAt, 4000);
-	assert.equal(watchLease(first, {offset: 5, disagreements: 1}, 4000).seenAt, 4000);
+	const first = observeLease(undefined, {offset: 5, clockDisagreements: 0}, 1000);
+	assert.equal(observeLease(first, {offset: 6, clockDisagreements: 0}, 4000).seenAt, 4000);
+	assert.equal(observeLease(first, {offset: 5, clockDisagreements: 1}, 4000).seenAt, 4000);
 });
 
 test('a restarted process takes over its own lease at once, so a restart of all daemons leaves no gap', () => {
@@ -28,5 +28,5 @@
 	assert.equal(isLeaseFree(lease, restarted), true);
 	assert.equal(isLeaseFree(lease, {...restarted, holderAddress: '10.1.0.9:7500'}), false);
 	assert.equal(isLeaseFree(lease, {...restarted, holder: 'front-a-2'}), false);
-	assert.equal(isLeaseFree({...lease, incarnation: nobody}, {...restarted, holder: 'front-a-2'}), true);
+	assert.equal(isLeaseFree({...lease, incarnation: releasedIncarnation}, {...restarted, holder: 'front-a-2'}), true);
 });
--- a/packages/core/src/duties/fold-lease.ts
+++ b/packages/core/src/duties/lease.ts
@@ -48,7 +48,7 @@
 };
 
 /** Returns the fencing token that is sent with each call. It increases whenever the holder changes. */
-export const getFence = (stored: StoredLease): number => stored.lease.fence === -1 ? stored.offset : stored.lease.fence;
+export const getFencingToken = (stored: StoredLease): number => stored.lease.fence === -1 ? stored.offset : stored.lease.fence;
 
 /** The holder stops acting this long before the lease ends, so that its last call has finished or failed by then. */
 export const holderSafetyMarginMs = 700;
@@ -60,7 +60,7 @@
 const maxKeptReports = 5;
 
 /** Adds a usage report to the lease. It replaces an earlier report of the same window. */
-export const withReport = (lease: Lease, report: WindowReport): Lease => {
+export const addReport = (lease: Lease, report: WindowReport): Lease => {
 	const others = lease.reports.filter(existing => existing.window !== report.window);
 	const reports = [...others, report].toSorted((left, right) => left.window - right.window).slice(-maxKeptReports);
 	return {...lease, reports};
@@ -78,35 +78,35 @@
 };
 
 /** The lease record that a daemon observed last, and when. */
-export type LeaseWatch = {
+export type LeaseObservation = {
 	readonly offset: number;
 	/** When that record was first read or learned of by gossip, on the monotonic clock. */
 	readonly seenAt: number;
 	/** How often the monotonic clock and the time of day had disagreed by then. An increase means that the instance was suspended or its time of day jumped. */
-	readonly disagreements: number;
+	readonly clockDisagreements: number;
 };
 
 /** Keeps the earlier observation while the record and the clocks are unchanged, otherwise starts a new one at `now`. */
-export const watchLease = (previous: LeaseWatch | undefined, record: Omit<LeaseWatch, 'seenAt'>, now: number): LeaseWatch =>
-	previous?.offset === record.offset && previous.disagreements === record.disagreements ? previous : {...record, seenAt: now};
+export const observeLease = (previous: LeaseObservation | undefined, record: Omit<LeaseObservation, 'seenAt'>, now: number): LeaseObservation =>
+	previous?.offset === record.offset && previous.clockDisagreements === record.clockDisagreements ? previous : {...record, seenAt: now};
 
 /** A daemon that wants the lease. */
-export type LeaseSeeker = Pick<Lease, 'holder' | 'holderAddress' | 'incarnation'>;
+export type LeaseCandidate = Pick<Lease, 'holder' | 'holderAddress' | 'incarnation'>;
 
 /** Value of the holder's incarnation after the holder released the lease. */
-export const nobody = '';
+export const releasedIncarnation = '';
 
 /**
  * Whether the candidate can take the lease without waiting: the lease was released, is the candidate's own,
  * or belongs to an earlier process on the same instance.
  */
-export const isLeaseFree = (lease: Lease, candidate: LeaseSeeker): boolean => {
+export const isLeaseFree = (lease: Lease, candidate: LeaseCandidate): boolean => {
 	const isOnSameInstance = lease.holder === candidate.holder && lease.holderAddress === candidate.holderAddress;
-	return lease.incarnation === nobody || lease.incarnation === candidate.incarnation || isOnSameInstance;
+	return lease.incarnation === releasedIncarnation || lease.incarnation === candidate.incarnation || isOnSameInstance;
 };
 
 /** Whether the lease has expired for a daemon that observes another holder. */
-export const mayTakeLease = (watch: LeaseWatch, leaseMs: number, now: number): boolean => now >= watch.seenAt + leaseMs + takeoverMarginMs;
+export const canTakeLease = (watch: LeaseObservation, leaseMs: number, now: number): boolean => now >= watch.seenAt + leaseMs + takeoverMarginMs;
 
 /** Whether the holder may still call the cloud API after its last renewal. */
-export const mayActOnLease = (renewedAt: number, leaseMs: number, now: number): boolean => now >= renewedAt && now < renewedAt + leaseMs - holderSafetyMarginMs;
+export const canActOnLease = (renewedAt: number, leaseMs: number, now: number): boolean => now >= renewedAt && now < renewedAt + leaseMs - holderSafetyMarginMs;
--- a/packages/core/src/engines/engines.test.ts
+++ b/packages/core/src/engines/engines.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import {type BackendOrder} from '../duties/fold-lease.js';
-import {learnNeed, roundNeed} from './need-engines.js';
-import {planEngines, type ZoneFleet} from './plan-engines.js';
+import {type BackendOrder} from '../duties/lease.js';
+import {updateDemandEstimate, roundWithHysteresis} from './estimate-demand.js';
+import {planBackends, type ZoneFleet} from './plan-backends.js';
 
 const bounds = {
 	least: 1, most: 8, bootMs: 4000, reclaimablePrice: 0.2, zonePrices: {a: 0.85, b: 1.2, c: 1},
 };
 
 const makeZone = (availabilityZone: string, changes: Partial<ZoneFleet> = {}): ZoneFleet => ({
-	availabilityZone, full: 1, reclaimable: 0, starting: 0, refusedUntil: 0, ...changes,
+	availabilityZone, onDemand: 1, reclaimable: 0, starting: 0, refusedUntil: 0, ...changes,
 });
 
-const plan = (zones: readonly ZoneFleet[], needed: number): BackendOrder[] => planEngines({
+const plan = (zones: readonly ZoneFleet[], needed: number): BackendOrder[] => planBackends({
 	service: 'llm', bounds, zones, needed, assumed: 0, now: 1000,
 });
 
@@ -21,15 +21,15 @@
 	.reduce((sum, order) => sum + order.count, 0);
 
 test('when reclaimable servers are available, only these are ordered, evenly and enough to survive two waves', () => {
-	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 0, starting: 4}));
+	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {onDemand: 0, starting: 4}));
 	const orders = plan(zones, 4);
 	assert.deepEqual([count(orders, false), count(orders, true)], [0, 12]);
 	assert.deepEqual(['a', 'b', 'c'].map(zone => count(orders, true, zone)), [4, 4, 4]);
 });
 
 test('only one wave is covered when reclaimable servers cost half of the full price', () => {
-	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 0, starting: 4}));
-	const orders = planEngines({
+	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {onDemand: 0, starting: 4}));
+	const orders = planBackends({
 		service: 'llm', bounds: {...bounds, reclaimablePrice: 0.5}, zones, needed: 4, assumed: 0, now: 1000,
 	});
 	assert.deepEqual([count(orders, false), count(orders, true)], [0, 6]);
@@ -39,11 +39,11 @@
 	for (const names of [['a', 'b'], ['a', 'b', 'c'], ['a', 'b', 'c', 'd']]) {
 		for (let needed = 1; needed <= 8; needed++) {
 			// The ordered backend servers run now.
-			let zones = names.map(zone => makeZone(zone, {full: 0, starting: 8}));
+			let zones = names.map(zone => makeZone(zone, {onDemand: 0, starting: 8}));
 			const orders = plan(zones, needed);
-			zones = names.map(zone => makeZone(zone, {full: count(orders, false, zone), reclaimable: count(orders, true, zone)}));
+			zones = names.map(zone => makeZone(zone, {onDemand: count(orders, false, zone), reclaimable: count(orders, true, zone)}));
 			for (const taken of zones) {
-				const left = zones.reduce((sum, zone) => sum + zone.full + (zone === taken ? 0 : zone.reclaimable), 0);
+				const left = zones.reduce((sum, zone) => sum + zone.onDemand + (zone === taken ? 0 : zone.reclaimable), 0);
 				assert.ok(left >= needed, `${needed} of ${names.length} zones: ${left}`);
 			}
 		}
@@ -52,7 +52,7 @@
 
 test('on-demand servers cover further waves while no reclaimable servers are available', () => {
 	const refused = {refusedUntil: 9000};
-	const afterOne = [makeZone('a', {full: 0, reclaimable: 4, ...refused}), makeZone('b', {full: 0, reclaimable: 4, ...refused}), makeZone('c', {full: 0, ...refused})];
+	const afterOne = [makeZone('a', {onDemand: 0, reclaimable: 4, ...refused}), makeZone('b', {onDemand: 0, reclaimable: 4, ...refused}), makeZone('c', {onDemand: 0, ...refused})];
 	const orders = plan(afterOne, 4);
 	assert.equal(count(orders, true), 8);
 	// The next two waves would take all eight reclaimable servers.
@@ -62,7 +62,7 @@
 
 test('no on-demand servers are ordered for a second wave that leaves most zones running', () => {
 	const names = ['a', 'b', 'c', 'd', 'e'];
-	const zones = names.map((zone, index) => makeZone(zone, {full: 0, reclaimable: index === 0 ? 0 : 4, refusedUntil: 9000}));
+	const zones = names.map((zone, index) => makeZone(zone, {onDemand: 0, reclaimable: index === 0 ? 0 : 4, refusedUntil: 9000}));
 	const orders = plan(zones, 14);
 	assert.equal(count(orders, true), 16);
 	// One wave takes four of the sixteen reclaimable servers, two take eight.
@@ -70,16 +70,16 @@
 });
 
 test('the number that ran before is kept until the load is known, as reclaimable servers', () => {
-	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 4, starting: 4}));
-	const orders = planEngines({
+	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {onDemand: 4, starting: 4}));
+	const orders = planBackends({
 		service: 'llm', bounds, zones, needed: 0, assumed: 12, now: 1000,
 	});
 	assert.deepEqual([count(orders, false), count(orders, true)], [0, 12]);
 });
 
 test('no on-demand servers are started for the number that a new lease holder assumes', () => {
-	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 0, refusedUntil: 9000}));
-	const orders = planEngines({
+	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {onDemand: 0, refusedUntil: 9000}));
+	const orders = planBackends({
 		service: 'llm', bounds, zones, needed: 3, assumed: 18, now: 1000,
 	});
 	assert.equal(count(orders, false), 3);
@@ -92,16 +92,16 @@
 
 test('a new attempt to order reclaimable servers ends no running on-demand servers', () => {
 	const full = {a: 4, b: 3, c: 2};
-	const zones = Object.entries(full).map(([zone, running]) => makeZone(zone, {full: running}));
+	const zones = Object.entries(full).map(([zone, running]) => makeZone(zone, {onDemand: running}));
 	const orders = plan(zones, 9);
 	assert.deepEqual(Object.keys(full).map(zone => count(orders, false, zone)), [4, 3, 2]);
 	assert.ok(count(orders, true) > 0);
 });
 
 test('on-demand servers are kept until the reclaimable servers that replace them run', () => {
-	const starting = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 3, starting: 4}));
+	const starting = ['a', 'b', 'c'].map(zone => makeZone(zone, {onDemand: 3, starting: 4}));
 	assert.equal(count(plan(starting, 9), false), 9);
-	const running = ['a', 'b', 'c'].map(zone => makeZone(zone, {full: 3, reclaimable: 4}));
+	const running = ['a', 'b', 'c'].map(zone => makeZone(zone, {onDemand: 3, reclaimable: 4}));
 	assert.equal(count(plan(running, 4), false), 0);
 });
 
@@ -129,35 +129,35 @@
 
 test('backend servers are not ended before the load is known', () => {
 	// All daemons were restarted, and the planning daemon has not received any calls yet.
-	let need = learnNeed(undefined, load, 0);
-	need = learnNeed(need, {...load, present: 3}, 5000);
-	assert.deepEqual([need.engines, need.assumed], [0, 12]);
-	need = learnNeed(need, {...load, promptTokensPerSecond: 90_000}, 5100);
-	assert.equal(Math.round(need.engines), 3);
+	let need = updateDemandEstimate(undefined, load, 0);
+	need = updateDemandEstimate(need, {...load, present: 3}, 5000);
+	assert.deepEqual([need.backends, need.assumed], [0, 12]);
+	need = updateDemandEstimate(need, {...load, promptTokensPerSecond: 90_000}, 5100);
+	assert.equal(Math.round(need.backends), 3);
 	assert.ok(need.assumed > 11);
-	need = learnNeed(need, {...load, promptTokensPerSecond: 90_000}, 40_000);
+	need = updateDemandEstimate(need, {...load, promptTokensPerSecond: 90_000}, 40_000);
 	assert.ok(need.assumed < 1);
-	assert.equal(learnNeed(undefined, {...load, promptTokensPerSecond: 90_000}, 0).assumed, 12);
+	assert.equal(updateDemandEstimate(undefined, {...load, promptTokensPerSecond: 90_000}, 0).assumed, 12);
 });
 
 test('the need follows the measured speed of the backend servers', () => {
 	const busy = {...load, promptTokensPerSecond: 390_000};
-	assert.equal(learnNeed(undefined, {...busy, tokensPerMs: 30}, 0).engines, 20);
-	assert.equal(learnNeed(undefined, {...busy, tokensPerMs: 120}, 0).engines, 5);
+	assert.equal(updateDemandEstimate(undefined, {...busy, tokensPerMs: 30}, 0).backends, 20);
+	assert.equal(updateDemandEstimate(undefined, {...busy, tokensPerMs: 120}, 0).backends, 5);
 });
 
 test('the need follows the running calls when places are short and prompt processing is not', () => {
 	const fullyOccupied = {
 		...load, promptTokensPerSecond: 100_000, tokensPerMs: 200, running: 480, places: 16,
 	};
-	assert.equal(learnNeed(undefined, fullyOccupied, 0).engines, 50);
+	assert.equal(updateDemandEstimate(undefined, fullyOccupied, 0).backends, 50);
 });
 
 test('a load that fluctuates around a whole number does not start and end a backend server each time', () => {
 	let ordered = 0;
 	const orders: number[] = [];
 	for (const engines of [6.9, 7.1, 6.8, 7.2, 6.6, 5.9, 5.6]) {
-		ordered = roundNeed(engines, ordered);
+		ordered = roundWithHysteresis(engines, ordered);
 		orders.push(ordered);
 	}
 
@@ -165,8 +165,8 @@
 });
 
 test('the need follows a rise at once and a fall slowly', () => {
-	let need = learnNeed(undefined, {...load, promptTokensPerSecond: 225_000, present: 3}, 0);
-	assert.equal(Math.round(need.engines), 8);
-	need = learnNeed(need, {...load, promptTokensPerSecond: 22_500, present: 10}, 5000);
-	assert.ok(need.engines > 5 && need.engines < 8);
+	let need = updateDemandEstimate(undefined, {...load, promptTokensPerSecond: 225_000, present: 3}, 0);
+	assert.equal(Math.round(need.backends), 8);
+	need = updateDemandEstimate(need, {...load, promptTokensPerSecond: 22_500, present: 10}, 5000);
+	assert.ok(need.backends > 5 && need.backends < 8);
 });
--- a/packages/core/src/engines/need-engines.ts
+++ b/packages/core/src/engines/estimate-demand.ts
@@ -18,9 +18,9 @@
  */
 const assumedDecayMs = 7000;
 
-export type Need = {
+export type DemandEstimate = {
 	/** Number of backend servers that the load needs. */
-	readonly engines: number;
+	readonly backends: number;
 	/** Number that ran before the load was known and is assumed to be sufficient. */
 	readonly assumed: number;
 	/** When the estimate was made, in milliseconds. */
@@ -34,7 +34,7 @@
 const hysteresisBackends = 1.3;
 
 /** Rounds the estimate up to the number of backend servers to order, with hysteresis against the current order. */
-export const roundNeed = (needed: number, ordered: number): number => {
+export const roundWithHysteresis = (needed: number, ordered: number): number => {
 	const rounded = Math.ceil(needed);
 	return rounded > ordered || needed < ordered - hysteresisBackends ? rounded : ordered;
 };
@@ -65,19 +65,19 @@
  * Updates the estimate with a sample. It follows a rise at once and a fall slowly. The backend servers that run when a
  * daemon begins to plan are assumed to be sufficient, so they are kept until the load has been known for some seconds.
  */
-export const learnNeed = (need: Need | undefined, sample: LoadSample, now: number): Need => {
+export const updateDemandEstimate = (need: DemandEstimate | undefined, sample: LoadSample, now: number): DemandEstimate => {
 	if (sample.promptTokensPerSecond === 0) {
-		return {engines: need?.engines ?? 0, assumed: Math.max(need?.assumed ?? 0, sample.present), at: now};
+		return {backends: need?.backends ?? 0, assumed: Math.max(need?.assumed ?? 0, sample.present), at: now};
 	}
 
 	const needed = countNeeded(sample);
 	if (need === undefined) {
-		return {engines: needed, assumed: sample.present, at: now};
+		return {backends: needed, assumed: sample.present, at: now};
 	}
 
 	const elapsedMs = Math.max(0, now - need.at);
 	return {
-		engines: Math.max(needed, need.engines * Math.exp(-elapsedMs / peakDecayBoots / sample.bootMs)),
+		backends: Math.max(needed, need.backends * Math.exp(-elapsedMs / peakDecayBoots / sample.bootMs)),
 		assumed: need.assumed * Math.exp(-elapsedMs / assumedDecayMs),
 		at: now,
 	};
--- a/packages/core/src/engines/plan-engines.ts
+++ b/packages/core/src/engines/plan-backends.ts
@@ -8,12 +8,12 @@
  * in size because a zone that is cut off has to serve its own callers.
  */
 import {type FleetBounds} from '../calls/serving-configuration.js';
-import {type BackendOrder} from '../duties/fold-lease.js';
+import {type BackendOrder} from '../duties/lease.js';
 
 export type ZoneFleet = {
 	readonly availabilityZone: string;
 	/** On-demand backend servers, at the full price, that run and are not leaving. */
-	readonly full: number;
+	readonly onDemand: number;
 	/** Reclaimable backend servers that run and are not leaving. */
 	readonly reclaimable: number;
 	/** Reclaimable backend servers that were ordered and may still be starting. */
@@ -155,7 +155,7 @@
 	const getPlanned = (zone: ZoneFleet): number => reclaimable.get(zone.availabilityZone) ?? 0;
 	const getRunningOrStarting = (zone: ZoneFleet): number => Math.min(getPlanned(zone), zone.reclaimable + zone.starting);
 	const getRunning = (zone: ZoneFleet): number => Math.min(getPlanned(zone), zone.reclaimable);
-	const getOnDemand = (zone: ZoneFleet): number => zone.full;
+	const getOnDemand = (zone: ZoneFleet): number => zone.onDemand;
 	const neededNow = Math.max(needed - countLeftAfterWaves(zones, getRunning, onDemandWaves), assumed - sumOverZones(zones, getRunningOrStarting));
 	const kept = Math.min(sumOverZones(zones, getOnDemand), neededNow);
 	const missing = needed - countLeftAfterWaves(zones, getRunningOrStarting, onDemandWaves);
@@ -163,7 +163,7 @@
 };
 
 /** Plans the orders of a service, at most `bounds.most` per zone. Cheaper zones are preferred where zones are otherwise equal. */
-export const planEngines = (input: PlanInput, countWaves: CountOnDemandWaves = countOnDemandWaves): BackendOrder[] => {
+export const planBackends = (input: PlanInput, countWaves: CountOnDemandWaves = countOnDemandWaves): BackendOrder[] => {
 	const {bounds, service, now} = input;
 	const zones = input.zones.toSorted((left, right) => getPrice(bounds, left) - getPrice(bounds, right));
 	const waves = countCoveredWaves(bounds.reclaimablePrice ?? 1, zones.length);
--- a/packages/core/src/engines/work-rate.ts
+++ b/packages/core/src/engines/work-rate.ts
@@ -16,13 +16,13 @@
 const minSpanMs = 500;
 
 /** Returns the rate at `now`, corrected for the short time since the first tokens. */
-export const readWorkRate = (rate: WorkRate, now: number): number => {
+export const computeWorkRate = (rate: WorkRate, now: number): number => {
 	const warmUpFactor = 1 - Math.exp(-Math.max(minSpanMs, now - rate.since) / timeConstantMs);
 	return rate.perSecond * Math.exp(-Math.max(0, now - rate.at) / timeConstantMs) / warmUpFactor;
 };
 
 /** Adds prompt tokens to the rate. */
-export const noteWork = (rate: WorkRate | undefined, tokens: number, now: number): WorkRate => {
+export const recordWork = (rate: WorkRate | undefined, tokens: number, now: number): WorkRate => {
 	if (rate === undefined) {
 		return {perSecond: tokens * 1000 / timeConstantMs, at: now, since: now};
 	}
--- a/packages/core/src/fleet/fold-fleet.ts
+++ b/packages/core/src/fleet/fleet-state.ts
@@ -85,7 +85,7 @@
 };
 
 /** Applies the next record of the stream. A record that was applied before changes nothing. */
-export const foldFleetRecord = (state: FleetState, entry: LogRecord): FleetState => {
+export const applyFleetRecord = (state: FleetState, entry: LogRecord): FleetState => {
 	if (entry.offset < state.next) {
 		return state;
 	}
--- a/packages/core/src/fleet/fleet.test.ts
+++ b/packages/core/src/fleet/fleet.test.ts
@@ -4,10 +4,10 @@
 import {type LogRecord} from '@shallotpass/common/log-service.js';
 import {type LogOffset} from '@shallotpass/common/types.js';
 import fc from 'fast-check';
-import {foldFleetRecord, maxLeaseMs, makeFleetState} from './fold-fleet.js';
-import {noteRefusal} from './note-refusal.js';
-import {makePlanFleet} from './plan-fleet.js';
-import {foreseeDemand, smoothDemand} from './smooth-demand.js';
+import {applyFleetRecord, maxLeaseMs, makeFleetState} from './fleet-state.js';
+import {recordRefusal} from './record-refusal.js';
+import {makeFleetPlanner} from './plan-fleet.js';
+import {forecastDemand, smoothDemand} from './smooth-demand.js';
 import {type FleetState, type FleetView, type Offer} from './types.js';
 
 const zone = 'zone-1';
@@ -24,9 +24,9 @@
 	let state = makeFleetState();
 	for (const [offset, {at, record}] of records.entries()) {
 		const entry: LogRecord = {offset: offset as LogOffset, appendedAt: at, record};
-		state = foldFleetRecord(state, entry);
+		state = applyFleetRecord(state, entry);
 		// Applying a record a second time must not change the state.
-		assert.equal(foldFleetRecord(state, entry), state);
+		assert.equal(applyFleetRecord(state, entry), state);
 	}
 
 	return state;
@@ -64,7 +64,7 @@
 		let highestFencing = -1;
 		for (const [offset, step] of steps.entries()) {
 			at += step.passed;
-			state = foldFleetRecord(state, {offset: offset as LogOffset, appendedAt: at, record: step.record});
+			state = applyFleetRecord(state, {offset: offset as LogOffset, appendedAt: at, record: step.record});
 			const lease = state.leases.get(zone);
 			if (lease !== undefined) {
 				assert.equal(holders.get(lease.fencing) ?? lease.holder, lease.holder);
@@ -92,8 +92,8 @@
 	now: 0, offers, instances: [], openOrders: [], fixedPlaces: 0, demandPlaces: 0, refusals: [], ...changes,
 });
 
-const plan = makePlanFleet({
-	headroom: 1, chance: 0, leastPlaces: 0, leastStayMs: 0,
+const plan = makeFleetPlanner({
+	headroom: 1, peakReserve: 0, minPlaces: 0, minRuntimeMs: 0,
 });
 const listStartedClasses = (changes: Partial<FleetView>): string[] => plan(makeView(changes)).starts.map(offer => `${offer.machineClass}${offer.isReclaimable ? '' : ' on demand'}`);
 
@@ -125,13 +125,13 @@
 
 test('the backoff after refusals grows exponentially and is reset after a long time without refusals', () => {
 	const offer = offers[0]!;
-	const first = noteRefusal({
+	const first = recordRefusal({
 		known: undefined, offer, now: 0, firstWaitMs: 100, random: () => 0.5,
 	});
-	const second = noteRefusal({
+	const second = recordRefusal({
 		known: first, offer, now: 100, firstWaitMs: 100, random: () => 0.5,
 	});
-	const later = noteRefusal({
+	const later = recordRefusal({
 		known: second, offer, now: 100_000, firstWaitMs: 100, random: () => 0.5,
 	});
 	assert.deepEqual([first.until, second.until, later.times], [100, 300, 1]);
@@ -144,6 +144,6 @@
 	const falling = smoothDemand(high, 10, 200, options);
 	assert.equal(high.level, 50);
 	assert.ok(falling.level > 40 && falling.level < 50);
-	assert.ok(foreseeDemand(high, 100) > 50);
-	assert.equal(foreseeDemand(smoothDemand(falling, 10, 5000, options), 1000) <= 12, true);
+	assert.ok(forecastDemand(high, 100) > 50);
+	assert.equal(forecastDemand(smoothDemand(falling, 10, 5000, options), 1000) <= 12, true);
 });
--- a/packages/core/src/fleet/plan-fleet.ts
+++ b/packages/core/src/fleet/plan-fleet.ts
@@ -1,6 +1,6 @@
 /** Plans how many instances of each offer to run: enough places for the expected load, at the lowest price, spread over zones. */
 import {
-	makeOfferKey, type FleetInstance, type FleetPlan, type FleetView, type Offer, type OfferName, type PlanFleet,
+	makeOfferKey, type FleetInstance, type FleetPlan, type FleetView, type Offer, type OfferName, type FleetPlanner,
 } from './types.js';
 
 export type PlanOptions = {
@@ -10,11 +10,11 @@
 	 * Reserve for random peaks, multiplied by the square root of the needed places: the load of a small fleet varies
 	 * more in proportion than that of a large one.
 	 */
-	readonly chance: number;
+	readonly peakReserve: number;
 	/** Minimum number of places, independent of the demand. */
-	readonly leastPlaces: number;
+	readonly minPlaces: number;
 	/** Minimum runtime of an instance before it is ended, in milliseconds, because its start was billed. */
-	readonly leastStayMs: number;
+	readonly minRuntimeMs: number;
 };
 
 /** Instances are ended only above this multiple of the target. Without it a fleet at its target would alternate between starting and ending instances. */
@@ -107,7 +107,7 @@
 	const ends: FleetInstance[] = [];
 	let remainingSurplus = surplus;
 	const byPrice = view.instances
-		.filter(instance => !instance.isLeaving && view.now - instance.startedAt >= options.leastStayMs)
+		.filter(instance => !instance.isLeaving && view.now - instance.startedAt >= options.minRuntimeMs)
 		.map(instance => ({instance, ...makePlannedCapacity(view.offers, instance)}))
 		.filter(({places}) => places > 0)
 		.toSorted((one, other) => (other.creditsPerHour / other.places) - (one.creditsPerHour / one.places));
@@ -122,8 +122,8 @@
 };
 
 /** Makes a planner that starts instances below the target, ends some above it, and otherwise replaces on-demand instances. */
-export const makePlanFleet = (options: PlanOptions): PlanFleet => (view): FleetPlan => {
-	const targetPlaces = Math.max(options.leastPlaces, (view.demandPlaces * options.headroom) + (options.chance * Math.sqrt(view.demandPlaces)));
+export const makeFleetPlanner = (options: PlanOptions): FleetPlanner => (view): FleetPlan => {
+	const targetPlaces = Math.max(options.minPlaces, (view.demandPlaces * options.headroom) + (options.peakReserve * Math.sqrt(view.demandPlaces)));
 	const capacity = [...view.instances.filter(instance => !instance.isLeaving), ...view.openOrders].map(item => makePlannedCapacity(view.offers, item));
 	const currentPlaces = view.fixedPlaces + sumPlaces(capacity);
 	const refused = new Set(view.refusals.filter(refusal => refusal.until > view.now).map(refusal => refusal.offer));
--- a/packages/core/src/fleet/note-refusal.ts
+++ b/packages/core/src/fleet/record-refusal.ts
@@ -18,7 +18,7 @@
 const resetAfterWaits = 4;
 
 /** Returns the refusal to record for an offer, with the end of its wait. */
-export const noteRefusal = ({known, offer, now, firstWaitMs, random}: RefusalOptions): Refusal => {
+export const recordRefusal = ({known, offer, now, firstWaitMs, random}: RefusalOptions): Refusal => {
 	const isExpired = known !== undefined && now > known.until + (firstWaitMs * resetAfterWaits * (2 ** known.times));
 	const times = Math.min(maxCountedRefusals, (isExpired ? 0 : known?.times ?? 0) + 1);
 	// Jitter of half the wait, so that the lease holders of all zones don't retry at the same time.
--- a/packages/core/src/fleet/smooth-demand.ts
+++ b/packages/core/src/fleet/smooth-demand.ts
@@ -29,4 +29,4 @@
 };
 
 /** Returns the places that will be needed when an instance that is ordered now is ready. */
-export const foreseeDemand = ({level, slope}: SmoothedDemand, startMs: number): number => level + Math.max(0, slope * startMs);
+export const forecastDemand = ({level, slope}: SmoothedDemand, startMs: number): number => level + Math.max(0, slope * startMs);
--- a/packages/core/src/fleet/types.ts
+++ b/packages/core/src/fleet/types.ts
@@ -79,7 +79,7 @@
 };
 
 /** A planning policy. The measurements compare this project's policy with baseline policies of the same type. */
-export type PlanFleet = (view: FleetView) => FleetPlan;
+export type FleetPlanner = (view: FleetView) => FleetPlan;
 
 export const makeOfferKey = ({availabilityZone, machineClass, isReclaimable}: OfferName): string =>
 	`${availabilityZone} ${machineClass} ${isReclaimable ? 'reclaimable' : 'on demand'}`;
--- a/packages/core/src/gossip/limit-loads.test.ts
+++ b/packages/core/src/gossip/filter-loads.test.ts
@@ -2,7 +2,7 @@
 import {Buffer} from 'node:buffer';
 import test from 'node:test';
 import {type GossipReport} from './gossip-report.js';
-import {isZoneAlone, limitLoads} from './limit-loads.js';
+import {usesOwnZoneOnly, filterLoads} from './filter-loads.js';
 
 /** Maximum payload of a UDP datagram over IPv4. */
 const maxDatagramBytes = 65_507;
@@ -23,13 +23,13 @@
 test('a report with thousands of backend servers fits into a datagram once its loads are limited', () => {
 	assert.ok(countBytes(makeTotal(3003)) > maxDatagramBytes);
 	assert.ok(countBytes(makeTotal(600)) < maxDatagramBytes);
-	assert.ok(isZoneAlone(3003, 600));
-	const limited = limitLoads(makeTotal(3003), id => Number(id.split('-').at(-1)) % 5 === 0);
+	assert.ok(usesOwnZoneOnly(3003, 600));
+	const limited = filterLoads(makeTotal(3003), id => Number(id.split('-').at(-1)) % 5 === 0);
 	assert.equal(Object.keys(limited.loads).length, 601);
 	assert.ok(countBytes(limited) < maxDatagramBytes, String(countBytes(limited)));
 });
 
 test('zones share backend servers while there are few in total or few in the zone', () => {
-	assert.equal(isZoneAlone(98, 20), false);
-	assert.equal(isZoneAlone(3003, 10), false);
+	assert.equal(usesOwnZoneOnly(98, 20), false);
+	assert.equal(usesOwnZoneOnly(3003, 10), false);
 });
--- a/packages/core/src/gossip/limit-loads.ts
+++ b/packages/core/src/gossip/filter-loads.ts
@@ -12,10 +12,10 @@
 const minBackendsInZone = 50;
 
 /** Whether a zone uses only its own backend servers: there are too many to share, and the zone has enough of them. */
-export const isZoneAlone = (backends: number, backendsInZone: number): boolean => backends > maxSharedBackends && backendsInZone >= minBackendsInZone;
+export const usesOwnZoneOnly = (backends: number, backendsInZone: number): boolean => backends > maxSharedBackends && backendsInZone >= minBackendsInZone;
 
 /** Returns the report with only the loads of the backend servers that `isWanted` accepts. */
-export const limitLoads = (report: GossipReport, isWanted: (backendId: string) => boolean): GossipReport => ({
+export const filterLoads = (report: GossipReport, isWanted: (backendId: string) => boolean): GossipReport => ({
 	...report,
 	loads: Object.fromEntries(Object.entries(report.loads).filter(([id]) => isWanted(id))),
 });
--- a/packages/core/src/gossip/gossip-report.test.ts
+++ b/packages/core/src/gossip/gossip-report.test.ts
@@ -3,7 +3,7 @@
 import {sumSlots} from '../quotas/spending.js';
 import {mergeUsage, sumWindow} from '../usage/count-starts.js';
 import {
-	type GossipReport, sumReports, totalReports, withoutOwn,
+	type GossipReport, sumReports, sumZones, subtractReport,
 } from './gossip-report.js';
 import {needsRelays, pickRelays} from './pick-relays.js';
 
@@ -71,7 +71,7 @@
 test('a daemon subtracts its own report from a sum that includes it', () => {
 	const all = Array.from({length: 5}, (_value, index) => makeReport(index, 'zone-0'));
 	const sum = sumReports(all[0]!, all.slice(1), []);
-	const others = withoutOwn(sum, all[2]!);
+	const others = subtractReport(sum, all[2]!);
 	assert.deepEqual([others.daemons, others.spent.shop, others.loads.engine], [4, [240, 160], [4, 20, 0, 0]]);
 	assert.equal(sumWindow(others.usage['7']!).shop, 10);
 	assert.equal(others.leaseOffset, 12);
@@ -94,7 +94,7 @@
 	const sizes = [2, 16].map(zones => {
 		const all = Array.from({length: 64}, (_value, index) => ({...makeReport(index, `zone-${index % zones}`), usage: {}}));
 		const sums = Array.from({length: zones}, (_value, index) => sumZone(all, `zone-${index}`));
-		const total = totalReports(sums[0]!, sums.slice(1), []);
+		const total = sumZones(sums[0]!, sums.slice(1), []);
 		assert.deepEqual([total.daemons, total.spent.shop, total.loads.engine], [64, [3840, 2560], [64, 320, 0, 0]]);
 		return JSON.stringify(total).length;
 	});
@@ -104,7 +104,7 @@
 test('a total counts the daemons of silent zones, which may still be spending', () => {
 	const all = Array.from({length: 20}, (_value, index) => makeReport(index, `zone-${index % 5}`));
 	const sums = ['zone-0', 'zone-1', 'zone-2'].map(zone => sumZone(all, zone));
-	const total = totalReports(sums[0]!, [sums[1]!], [sums[2]!]);
+	const total = sumZones(sums[0]!, [sums[1]!], [sums[2]!]);
 	assert.deepEqual([total.daemons, total.silentDaemons], [8, 4]);
 });
 
@@ -113,8 +113,8 @@
 	const sums = ['zone-0', 'zone-1', 'zone-2', 'zone-3', 'zone-4'].map(zone => sumZone(all, zone));
 	const collectUsage = (holder: GossipReport) => {
 		const zone = holder.availabilityZone;
-		const total = totalReports(sums.find(sum => sum.availabilityZone === zone)!, sums.filter(sum => sum.availabilityZone !== zone), []);
-		return mergeUsage(holder.usage, withoutOwn(total, holder).usage);
+		const total = sumZones(sums.find(sum => sum.availabilityZone === zone)!, sums.filter(sum => sum.availabilityZone !== zone), []);
+		return mergeUsage(holder.usage, subtractReport(total, holder).usage);
 	};
 
 	const counted = mergeUsage(collectUsage(all[3]!), collectUsage(all[1]!));
--- a/packages/core/src/gossip/gossip-report.ts
+++ b/packages/core/src/gossip/gossip-report.ts
@@ -9,7 +9,7 @@
 const amounts = z.record(z.string(), z.number());
 
 /** Versions and ages of the store data that a daemon holds. Other daemons compare them with their own without a request. */
-const storeKnowledge = z.object({
+const storeVersions = z.object({
 	/** -1 before a configuration was loaded. */
 	configurationVersion: z.number(),
 	/** Milliseconds since this version was last confirmed to be the newest. */
@@ -22,7 +22,7 @@
 	members: z.int(),
 });
 
-export type StoreKnowledge = z.infer<typeof storeKnowledge>;
+export type StoreVersions = z.infer<typeof storeVersions>;
 
 export const gossipReportSchema = z.object({
 	/** Id of the daemon, or of the relay that computed the sum. */
@@ -38,7 +38,7 @@
 	/** Number of daemons in zones that stopped reporting. They may still be admitting calls that nobody else counts. */
 	silentDaemons: z.int().default(0),
 	/** Store data held by the sender, which in a sum is the relay. */
-	known: storeKnowledge,
+	known: storeVersions,
 	/** Cost units requested per second, by client account. */
 	demands: amounts,
 	/** Cost units admitted in each slot of the rate limit window, newest first, by client account. */
@@ -148,14 +148,14 @@
  * Sums the reports of all zones. A relay sends only this total to its zone, so the size of the message doesn't grow
  * with the number of zones. `silent` holds the last sums of zones that stopped reporting.
  */
-export const totalReports = (zone: GossipReport, others: readonly GossipReport[], silent: readonly GossipReport[]): GossipReport => ({
+export const sumZones = (zone: GossipReport, others: readonly GossipReport[], silent: readonly GossipReport[]): GossipReport => ({
 	...addAllReports(zone, others),
 	incarnation: `${totalPrefix}${zone.availabilityZone}`,
 	silentDaemons: silent.reduce((sum, {daemons}) => sum + daemons, 0),
 });
 
 /** Subtracts a daemon's own report from a sum that includes it. Usage counts stay complete because they are reported by zone. */
-export const withoutOwn = (sum: GossipReport, own: GossipReport): GossipReport => ({
+export const subtractReport = (sum: GossipReport, own: GossipReport): GossipReport => ({
 	...sum,
 	daemons: Math.max(0, sum.daemons - 1),
 	demands: addAmounts(sum.demands, own.demands, -1),
--- a/packages/core/src/gossip/pick-relays.ts
+++ b/packages/core/src/gossip/pick-relays.ts
@@ -1,7 +1,7 @@
 /** Selects the daemons of a zone that sum the reports of the others. All daemons select the same ones without coordination. */
 import {rankByRendezvous} from '../routing/rank-by-rendezvous.js';
 
-export type Member = {
+export type GossipMember = {
 	readonly id: string;
 	/** Address for gossip reports and requests. */
 	readonly address: string;
@@ -23,7 +23,7 @@
  * highest bandwidth come last: sending the sums of all zones to 30 daemons saturates a link of 10 Mbit/s and
  * loses messages.
  */
-export const rankByBandwidth = (key: string, members: Iterable<Member>): Member[] => {
+export const rankByBandwidth = (key: string, members: Iterable<GossipMember>): GossipMember[] => {
 	const byAddress = new Map([...members].map(member => [member.address, member]));
 	const highestMbps = Math.max(...[...byAddress.values()].map(member => member.linkMbps));
 	const hasHighestBandwidth = (address: string): boolean => byAddress.get(address)!.linkMbps === highestMbps;
@@ -33,7 +33,7 @@
 };
 
 /** Returns the relays of a zone, the active one first. `isExcluded` matches daemons that were silent. */
-export const pickRelays = (members: Iterable<Member>, zone: string, isExcluded: (address: string) => boolean): Member[] => {
+export const pickRelays = (members: Iterable<GossipMember>, zone: string, isExcluded: (address: string) => boolean): GossipMember[] => {
 	const candidates = [...members].filter(member => member.availabilityZone === zone && !isExcluded(member.address));
 	return rankByBandwidth(zone, candidates).slice(0, relaysPerZone);
 };
--- a/packages/core/src/gossip/store-role.test.ts
+++ b/packages/core/src/gossip/store-role.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import {type Member} from './pick-relays.js';
+import {type GossipMember} from './pick-relays.js';
 import {
-	computeStoreRole, firstRole, getLongestPause, getSeekDelay, getStaleMargin,
+	computeStoreRole, initialStoreRole, getMaxRetryPauseMs, getLeaseLookupDelayMs, getStaleMarginMs,
 } from './store-role.js';
 
-const makeMember = (index: number, changes: Partial<Member> = {}): Member => ({
+const makeMember = (index: number, changes: Partial<GossipMember> = {}): GossipMember => ({
 	id: `d${index}`, address: `10.0.0.${index}:7500`, availabilityZone: `zone-${index % 5}`, linkMbps: 10, ...changes,
 });
 
-const listRoles = (members: readonly Member[]) => members.map(self => computeStoreRole({self, heard: members.filter(member => member !== self), relays: []}));
+const listRoles = (members: readonly GossipMember[]) => members.map(self => computeStoreRole({self, heard: members.filter(member => member !== self), relays: []}));
 
 for (const daemons of [1, 2, 9]) {
 	test(`one of ${daemons} connected daemons reads the store, and all others ask it first`, () => {
@@ -47,9 +47,9 @@
 	const role = computeStoreRole({self: makeMember(0), heard: [makeMember(3)], relays});
 	assert.deepEqual(role.sources, relays.map(({address}) => address));
 	const standby = {rank: 1, sources: []};
-	assert.ok(getStaleMargin(role) > getStaleMargin({rank: 2, sources: []}));
-	assert.ok(getStaleMargin(standby) < getStaleMargin({rank: 2, sources: []}));
-	assert.ok(Number.isFinite(getSeekDelay(role)));
-	assert.equal(getSeekDelay(firstRole), 0);
-	assert.ok(getLongestPause(role) > getLongestPause(firstRole));
+	assert.ok(getStaleMarginMs(role) > getStaleMarginMs({rank: 2, sources: []}));
+	assert.ok(getStaleMarginMs(standby) < getStaleMarginMs({rank: 2, sources: []}));
+	assert.ok(Number.isFinite(getLeaseLookupDelayMs(role)));
+	assert.equal(getLeaseLookupDelayMs(initialStoreRole), 0);
+	assert.ok(getMaxRetryPauseMs(role) > getMaxRetryPauseMs(initialStoreRole));
 });
--- a/packages/core/src/gossip/store-role.ts
+++ b/packages/core/src/gossip/store-role.ts
@@ -3,7 +3,7 @@
  * same data, so one daemon reads it and the others ask that daemon or their zone's relay. A daemon whose data becomes
  * stale reads the store itself, so a wrong choice costs extra calls but no correctness.
  */
-import {type Member, rankByBandwidth} from './pick-relays.js';
+import {type GossipMember, rankByBandwidth} from './pick-relays.js';
 
 export type StoreRole = {
 	/** Rank 0 reads the store for all. Rank 1 is the first to take over when rank 0 is silent. */
@@ -13,7 +13,7 @@
 };
 
 /** A daemon reads the store itself until it knows other daemons. */
-export const firstRole: StoreRole = {rank: 0, sources: []};
+export const initialStoreRole: StoreRole = {rank: 0, sources: []};
 
 /** Rendezvous key that ranks the readers. */
 const readerKey = 'store';
@@ -23,11 +23,11 @@
 
 export type RoleInput = {
 	/** This daemon. */
-	readonly self: Member;
+	readonly self: GossipMember;
 	/** Daemons with recent reports that may read for all: all daemons, or one relay per zone. */
-	readonly heard: readonly Member[];
+	readonly heard: readonly GossipMember[];
 	/** Relays of the daemon's own zone, or empty if it doesn't use relays. */
-	readonly relays: readonly Member[];
+	readonly relays: readonly GossipMember[];
 };
 
 export const computeStoreRole = ({self, heard, relays}: RoleInput): StoreRole => {
@@ -50,7 +50,7 @@
 const otherMarginMs = 900;
 const relayedMarginMs = 1300;
 
-export const getStaleMargin = ({rank}: StoreRole): number => {
+export const getStaleMarginMs = ({rank}: StoreRole): number => {
 	if (rank <= 1) {
 		return standbyMarginMs;
 	}
@@ -62,7 +62,7 @@
 const maxReaderPauseMs = 1000;
 const maxOtherPauseMs = 2000;
 
-export const getLongestPause = ({rank}: StoreRole): number => rank <= 1 ? maxReaderPauseMs : maxOtherPauseMs;
+export const getMaxRetryPauseMs = ({rank}: StoreRole): number => rank <= 1 ? maxReaderPauseMs : maxOtherPauseMs;
 
 /**
  * Delay after the last report of a lease holder before a daemon looks up the lease in the store. It increases with the
@@ -71,4 +71,4 @@
 const lookupDelayPerRankMs = 400;
 const maxLookupDelayMs = 2500;
 
-export const getSeekDelay = ({rank}: StoreRole): number => Math.min(rank * lookupDelayPerRankMs, maxLookupDelayMs);
+export const getLeaseLookupDelayMs = ({rank}: StoreRole): number => Math.min(rank * lookupDelayPerRankMs, maxLookupDelayMs);
--- a/packages/core/src/membership/fold-membership.ts
+++ b/packages/core/src/membership/membership-state.ts
@@ -146,7 +146,7 @@
  * Chooses the member to probe in this period. Each member is probed once per round, so a failure is detected within two
  * rounds. Dead members are probed too until they are removed: after a network partition heals, they answer and rejoin.
  */
-export const chooseProbe = (state: MembershipState, random: Random): ProbeChoice => {
+export const chooseProbeTarget = (state: MembershipState, random: Random): ProbeChoice => {
 	let {round} = state;
 	if (round.length === 0) {
 		round = shuffle([...state.members.keys()], random);
@@ -157,7 +157,7 @@
 };
 
 /** Chooses members that probe the target indirectly, on behalf of this daemon. */
-export const chooseHelpers = (state: MembershipState, target: string, count: number, random: Random): Member[] => {
+export const chooseIndirectProbers = (state: MembershipState, target: string, count: number, random: Random): Member[] => {
 	const candidates = [...state.members.values()].filter(member => member.id !== target && member.status === 'alive');
 	return shuffle(candidates.map(member => member.id), random)
 		.slice(0, count)
@@ -165,7 +165,7 @@
 };
 
 /** Applies the member list that a new daemon receives. The other members know it already, so it isn't passed on. */
-export const takeIntroduction = (state: MembershipState, updates: readonly MemberUpdate[], now: number, options: MembershipOptions): MembershipState => ({
+export const applyIntroduction = (state: MembershipState, updates: readonly MemberUpdate[], now: number, options: MembershipOptions): MembershipState => ({
 	...applyUpdates(state, updates, now, options),
 	rumors: state.rumors,
 });
@@ -213,14 +213,14 @@
 ].toSorted();
 
 /** Returns the sorted ids of daemons that can be assigned tasks: alive and not about to stop. If there are no others, this daemon is included even if it is leaving. */
-export const listSteady = (state: MembershipState): string[] => {
+export const listAssignable = (state: MembershipState): string[] => {
 	const others = [...state.members.values()].filter(member => member.status === 'alive').map(member => member.id);
 	const isSelfAssignable = state.self.status === 'alive' || others.length === 0;
 	return (isSelfAssignable ? [state.self.id, ...others] : others).toSorted();
 };
 
 /** Computes a digest of the member list. Two daemons with equal digests don't need to compare their lists. */
-export const digestView = (state: MembershipState): number => {
+export const digestMembers = (state: MembershipState): number => {
 	const reachable = [state.self, ...state.members.values()].filter(member => isReachable(member));
 	return hashText(reachable.map(member => `${member.id} ${member.epoch}`).toSorted().join('\n'));
 };
--- a/packages/core/src/membership/membership.test.ts
+++ b/packages/core/src/membership/membership.test.ts
@@ -6,16 +6,16 @@
 	announceLeaving,
 	applyUpdate,
 	applyUpdates,
-	chooseProbe,
+	chooseProbeTarget,
 	expireMembers,
 	isProcessGone,
 	listReachable,
-	listSteady,
+	listAssignable,
 	makeMembershipState,
 	suspectMember,
-	takeIntroduction,
+	applyIntroduction,
 	takeRumors,
-} from './fold-membership.js';
+} from './membership-state.js';
 import {
 	defaultMembershipOptions, memberStatuses, type MembershipState, type MemberUpdate,
 } from './types.js';
@@ -71,8 +71,8 @@
 	const state = applyUpdate(makeState('a'), leaving.self, 0, options);
 	assert.equal(state.members.get('a')?.status, 'leaving');
 	assert.deepEqual(listReachable(state), ['a', 'self']);
-	assert.deepEqual(listSteady(state), ['self']);
-	assert.deepEqual(listSteady(leaving), ['a']);
+	assert.deepEqual(listAssignable(state), ['self']);
+	assert.deepEqual(listAssignable(leaving), ['a']);
 });
 
 test('the resulting view does not depend on the order of updates', () => {
@@ -98,7 +98,7 @@
 	const random = makeRandom(1);
 	const probed: string[] = [];
 	for (let index = 0; index < 8; index++) {
-		const choice = chooseProbe(state, random);
+		const choice = chooseProbeTarget(state, random);
 		state = choice.state;
 		probed.push(choice.target!.id);
 	}
@@ -141,7 +141,7 @@
 
 test('the member list that a new daemon receives is not passed on', () => {
 	const before = makeMembershipState(makeUpdate('self'));
-	const state = takeIntroduction(before, Array.from({length: 50}, (_value, index) => makeUpdate(`m${index}`)), 0, options);
+	const state = applyIntroduction(before, Array.from({length: 50}, (_value, index) => makeUpdate(`m${index}`)), 0, options);
 	assert.equal(state.members.size, 50);
 	assert.deepEqual(state.rumors, before.rumors);
 });
--- a/packages/core/src/placement/choose-backend.ts
+++ b/packages/core/src/placement/choose-backend.ts
@@ -11,7 +11,7 @@
 	readonly promptTokens: number;
 	readonly isStream: boolean;
 	/** Whether the call ends if its backend server is lost, because it cannot continue on another one. */
-	readonly isBoundToOne: boolean;
+	readonly isPinned: boolean;
 };
 
 /**
@@ -61,7 +61,7 @@
 	const uncachedTokens = Math.max(0, call.promptTokens - view.cachedTokens);
 	const running = view.own.running + view.others.running;
 	const slotWaitMs = Math.max(0, running + 1 - view.places) * meanSlotReleaseMs;
-	return ((queuedTokens + uncachedTokens) / view.pace.tokensPerMs) + view.pace.fixedMs + (running * delayPerRunningAnswerMs) + slotWaitMs;
+	return ((queuedTokens + uncachedTokens) / view.latencyModel.tokensPerMs) + view.latencyModel.fixedMs + (running * delayPerRunningAnswerMs) + slotWaitMs;
 };
 
 /** Mean time until a slot becomes free on an engine whose slots are all in use. */
@@ -77,10 +77,10 @@
 export const predictWait = (view: BackendView, call: PlacementRequest): number => call.isStream ? predictFirstEvent(view, call) : predictPlainAnswer(view);
 
 export const computeCost = (view: BackendView, call: PlacementRequest): number => {
-	const reclaimPenaltyMs = call.isBoundToOne && call.isStream && view.isReclaimable ? reclaimablePenaltyMs : 0;
+	const reclaimPenaltyMs = call.isPinned && call.isStream && view.isReclaimable ? reclaimablePenaltyMs : 0;
 	const silencePenaltyMs = Math.max(0, view.silentMs - maxNormalSilenceMs) * silenceWeight;
-	const zonePenaltyMs = view.isRemote ? otherZonePenaltyMs : 0;
-	return predictWait(view, call) + (view.failureShare * failurePenaltyMs) + reclaimPenaltyMs + zonePenaltyMs + silencePenaltyMs + view.detourMs;
+	const zonePenaltyMs = view.isInOtherZone ? otherZonePenaltyMs : 0;
+	return predictWait(view, call) + (view.failureRate * failurePenaltyMs) + reclaimPenaltyMs + zonePenaltyMs + silencePenaltyMs + view.spreadPenaltyMs;
 };
 
 export type Choice = {
@@ -96,7 +96,7 @@
 export const chooseBackend = (views: Iterable<BackendView>, call: PlacementRequest, random: () => number): Choice | undefined => {
 	let best: Choice | undefined;
 	for (const view of views) {
-		if (view.isFull) {
+		if (view.isAtConnectionLimit) {
 			continue;
 		}
 
--- a/packages/core/src/placement/prefix-memory.ts
+++ b/packages/core/src/placement/known-parts.ts
@@ -8,9 +8,9 @@
 const maxParts = 400;
 
 /** Ids of prompt parts with the time of their last use, least recently used first. */
-export type PrefixMemory = Map<string, number>;
+export type KnownParts = Map<string, number>;
 
-export const notePart = (knownParts: PrefixMemory, partId: string, now: number): void => {
+export const recordPart = (knownParts: KnownParts, partId: string, now: number): void => {
 	knownParts.delete(partId);
 	knownParts.set(partId, now);
 	if (knownParts.size > maxParts) {
--- a/packages/core/src/placement/learn-rate.ts
+++ b/packages/core/src/placement/moving-averages.ts
@@ -8,7 +8,7 @@
 const maxSampleFactor = 4;
 
 /** Updates a moving mean with a sample. */
-export const learnRate = (mean: number, sample: number): number => {
+export const updateMovingMean = (mean: number, sample: number): number => {
 	const bounded = Math.min(mean * maxSampleFactor, Math.max(mean * minSampleFactor, sample));
 	return mean + (sampleWeight * (bounded - mean));
 };
@@ -16,4 +16,4 @@
 /** Weight of one result in the failure rate. */
 const failureWeight = 0.1;
 
-export const learnFailure = (failureRate: number, hasFailed: boolean): number => failureRate + (failureWeight * ((hasFailed ? 1 : 0) - failureRate));
+export const updateFailureRate = (failureRate: number, hasFailed: boolean): number => failureRate + (failureWeight * ((hasFailed ? 1 : 0) - failureRate));
--- a/packages/core/src/placement/spread-choices.test.ts
+++ b/packages/core/src/placement/spread-choices.test.ts
@@ -3,12 +3,12 @@
 import {hashText} from '../routing/rank-by-rendezvous.js';
 import {makeRandom} from '../testing/make-random.js';
 import {chooseBackend, type PlacementRequest} from './choose-backend.js';
-import {computeDetour, computeUnseenMs} from './spread-choices.js';
+import {computeOrderPosition, computeUnreportedMs} from './spread-choices.js';
 import {type BackendView} from './types.js';
 
 const latencyModel = {tokensPerMs: 100, fixedMs: 50};
 const streamCall: PlacementRequest = {
-	rank: 0, promptTokens: 8000, isStream: true, isBoundToOne: false,
+	rank: 0, promptTokens: 8000, isStream: true, isPinned: false,
 };
 
 /**
@@ -23,10 +23,10 @@
 	for (let call = 0; call < 300; call++) {
 		const keyHash = hashText(`call-${call}`);
 		const views = ids.map((id, index): BackendView => ({
-			id, isRemote: false, places: 64, isReclaimable: true, pace: latencyModel, plainMs: 25, failureShare: 0, isFull: false, cachedTokens: 0, silentMs: 0,
+			id, isInOtherZone: false, places: 64, isReclaimable: true, latencyModel, plainMs: 25, failureRate: 0, isAtConnectionLimit: false, cachedTokens: 0, silentMs: 0,
 			own: {running: 0, pendingTokens: [0, 0, 0]},
 			others: {running: 5, pendingTokens: [index === 3 ? 0 : 3000, 0, 0]},
-			detourMs: unreportedMs * computeDetour(keyHash, hashText(id)),
+			spreadPenaltyMs: unreportedMs * computeOrderPosition(keyHash, hashText(id)),
 		}));
 		const {id} = chooseBackend(views, streamCall, random)!;
 		counts.set(id, (counts.get(id) ?? 0) + 1);
@@ -42,16 +42,16 @@
 
 test('calls that share a prompt prefer backend servers in the same order', () => {
 	const hashes = ['a', 'b', 'c'].map(id => hashText(id));
-	const positions = hashes.map(hash => computeDetour(hashText('part'), hash));
-	assert.deepEqual(positions, hashes.map(hash => computeDetour(hashText('part'), hash)));
+	const positions = hashes.map(hash => computeOrderPosition(hashText('part'), hash));
+	assert.deepEqual(positions, hashes.map(hash => computeOrderPosition(hashText('part'), hash)));
 	assert.ok(positions.every(position => position >= 0 && position <= 1));
 });
 
 test('the unreported work grows with the load of other daemons and shrinks with the number of backend servers', () => {
 	const work = {
-		tokensPerSecond: 200_000, gossipMs: 300, backends: 10, tokensPerMs: 100,
+		tokensPerSecond: 200_000, gossipDelayMs: 300, backends: 10, tokensPerMs: 100,
 	};
-	assert.equal(computeUnseenMs(work), 60);
-	assert.equal(computeUnseenMs({...work, backends: 30}), 20);
-	assert.equal(computeUnseenMs({...work, tokensPerSecond: 0}), 0);
+	assert.equal(computeUnreportedMs(work), 60);
+	assert.equal(computeUnreportedMs({...work, backends: 30}), 20);
+	assert.equal(computeUnreportedMs({...work, tokensPerSecond: 0}), 0);
 });
--- a/packages/core/src/placement/spread-choices.ts
+++ b/packages/core/src/placement/spread-choices.ts
@@ -10,7 +10,7 @@
 	/** Prompt tokens per second that callers send to the other daemons. */
 	readonly tokensPerSecond: number;
 	/** Time until gossip reports them to this daemon, in milliseconds. */
-	readonly gossipMs: number;
+	readonly gossipDelayMs: number;
 	/** Number of backend servers that they are sent to. */
 	readonly backends: number;
 	/** Prompt tokens that one backend server prefills per millisecond. */
@@ -18,10 +18,10 @@
 };
 
 /** Computes the mean prefill time that other daemons send to a backend server before this daemon learns of it, in milliseconds. */
-export const computeUnseenMs = ({tokensPerSecond, gossipMs: gossipDelayMs, backends, tokensPerMs}: UnreportedWork): number =>
+export const computeUnreportedMs = ({tokensPerSecond, gossipDelayMs, backends, tokensPerMs}: UnreportedWork): number =>
 	tokensPerSecond * gossipDelayMs / 1000 / tokensPerMs / Math.max(1, backends);
 
 const hashRange = 2 ** 32;
 
 /** Returns the position of a backend server in the order of a call, from 0 (first) to 1 (last). */
-export const computeDetour = (keyHash: number, backendHash: number): number => 0.5 - (weighMember(keyHash, backendHash) / hashRange);
+export const computeOrderPosition = (keyHash: number, backendHash: number): number => 0.5 - (weighMember(keyHash, backendHash) / hashRange);
--- a/packages/core/src/placement/types.ts
+++ b/packages/core/src/placement/types.ts
@@ -1,5 +1,5 @@
 /** Estimated state of a backend server that a daemon uses to place a call. */
-import {type ServicePace} from './engine-pace.js';
+import {type LatencyModel} from './engine-latency.js';
 
 export type Load = {
 	/** Calls that are running or queued. */
@@ -11,11 +11,11 @@
 export type BackendView = {
 	readonly id: string;
 	/** Whether the backend server is in a different availability zone than this daemon. */
-	readonly isRemote: boolean;
+	readonly isInOtherZone: boolean;
 	readonly places: number;
 	readonly isReclaimable: boolean;
 	/** Prefill speed and fixed latency, estimated from measured answers. */
-	readonly pace: ServicePace;
+	readonly latencyModel: LatencyModel;
 	/** Duration of a plain (non-streaming) call, estimated from measured answers, in milliseconds. */
 	readonly plainMs: number;
 	/** Exact load from this daemon. */
@@ -23,13 +23,13 @@
 	/** Load from the other daemons according to their last reports. */
 	readonly others: Load;
 	/** Fraction of recent calls that failed, from 0 to 1. */
-	readonly failureShare: number;
+	readonly failureRate: number;
 	/** Whether this daemon has reached its connection limit for the backend server. */
-	readonly isFull: boolean;
+	readonly isAtConnectionLimit: boolean;
 	/** Tokens of the call's prompt that are probably cached. */
 	readonly cachedTokens: number;
 	/** Penalty from the call's own order of backend servers, which spreads calls, in milliseconds. */
-	readonly detourMs: number;
+	readonly spreadPenaltyMs: number;
 	/** Time for which calls have been waiting without any data from the backend server, in milliseconds. */
 	readonly silentMs: number;
 };
--- a/packages/core/src/quotas/account-bucket.ts
+++ b/packages/core/src/quotas/account-bucket.ts
@@ -1,5 +1,5 @@
 /** Token bucket for one client account on one daemon. It refills with the daemon's share of the account's remaining budget. */
-import {type BucketRefill} from './account-room.js';
+import {type BucketRefill} from './account-budget.js';
 
 export type AccountBucket = {
 	/** Cost units that may be spent. */
@@ -13,14 +13,14 @@
 /** Time constant of the exponential decay of the demand. */
 const demandDecayMs = 1000;
 
-export const openBucket = (now: number): AccountBucket => ({level: 0, at: now, demand: 0});
+export const makeBucket = (now: number): AccountBucket => ({level: 0, at: now, demand: 0});
 
 /** Returns the demand decayed to the given time, for reports to the other daemons. */
-export const readDemand = (bucket: AccountBucket, now: number): number => bucket.demand * Math.exp(-Math.max(0, now - bucket.at) / demandDecayMs);
+export const computeDemand = (bucket: AccountBucket, now: number): number => bucket.demand * Math.exp(-Math.max(0, now - bucket.at) / demandDecayMs);
 
 /** Adds a requested cost to the demand, whether or not the call is admitted. */
-export const noteDemand = (bucket: AccountBucket, cost: number, now: number): AccountBucket => ({
-	...bucket, demand: readDemand(bucket, now) + (cost * 1000 / demandDecayMs),
+export const recordDemand = (bucket: AccountBucket, cost: number, now: number): AccountBucket => ({
+	...bucket, demand: computeDemand(bucket, now) + (cost * 1000 / demandDecayMs),
 });
 
 export type BucketRequest = {
@@ -28,8 +28,8 @@
 	/** On the steady clock, in milliseconds. */
 	readonly now: number;
 	/** Whether the account is far below its limit, so that the call is admitted regardless of the level. */
-	readonly isOpen: boolean;
-	readonly allotment: BucketRefill;
+	readonly isUnrestricted: boolean;
+	readonly refill: BucketRefill;
 	readonly random: () => number;
 };
 
@@ -44,9 +44,9 @@
  * equals the level. If each daemon could overdraw its bucket by one call instead, 90 daemons with
  * long prompts would exceed the limit of an account by a million tokens.
  */
-export const takeFromBucket = (bucket: AccountBucket, {cost, now, isOpen: isUnrestricted, allotment: refill, random}: BucketRequest): BucketDecision => {
+export const takeFromBucket = (bucket: AccountBucket, {cost, now, isUnrestricted, refill, random}: BucketRequest): BucketDecision => {
 	const refilledLevel = bucket.level + (refill.perMs * Math.max(0, now - bucket.at));
 	const level = Math.min(refill.most, refilledLevel);
 	const isAdmitted = isUnrestricted || level >= cost || (level > 0 && random() < level / cost);
-	return {bucket: {level: Math.max(0, level - cost), at: now, demand: readDemand(bucket, now)}, isAdmitted};
+	return {bucket: {level: Math.max(0, level - cost), at: now, demand: computeDemand(bucket, now)}, isAdmitted};
 };
--- a/packages/core/src/quotas/account-room.ts
+++ b/packages/core/src/quotas/account-budget.ts
@@ -19,11 +19,11 @@
 	/** Cost units per second requested from each other daemon, according to its last report. */
 	readonly otherDemands: readonly number[];
 	/** Number of daemons whose reports arrive, including this one. */
-	readonly heardDaemons: number;
+	readonly reportingDaemons: number;
 	/** Number of daemons that ran recently but whose reports no longer arrive. They may spend without this daemon's knowledge. */
 	readonly silentDaemons: number;
 	/** Time until all other daemons know what a daemon has spent, in milliseconds. */
-	readonly gossipMs: number;
+	readonly gossipDelayMs: number;
 };
 
 /** Minimum share of a daemon as a fraction of an equal share, so that a daemon without demand can serve its first callers. */
@@ -64,15 +64,15 @@
  * Computes the cost units that the reporting daemons may still spend, negative if the budget is
  * exceeded. While other daemons are silent, their part of the budget is left to them.
  */
-export const computeRoom = ({usable, spent, heardDaemons: reportingDaemons, silentDaemons}: SpendingView): number => {
+export const computeRemainingBudget = ({usable, spent, reportingDaemons, silentDaemons}: SpendingView): number => {
 	const reportingPart = reportingDaemons / (reportingDaemons + silentDaemons);
 	return (usable * reportingPart) - spent;
 };
 
 /** Whether the remaining budget covers the call and the spending of other daemons that is not reported yet. */
-export const hasRoom = (view: SpendingView, cost: number): boolean => {
-	const unreported = sum(view.otherDemands) * view.gossipMs / 1000;
-	return cost + (unreported * unreportedWeight) <= computeRoom(view) * unrestrictedPart;
+export const hasBudget = (view: SpendingView, cost: number): boolean => {
+	const unreported = sum(view.otherDemands) * view.gossipDelayMs / 1000;
+	return cost + (unreported * unreportedWeight) <= computeRemainingBudget(view) * unrestrictedPart;
 };
 
 export type BucketRefill = {
@@ -83,10 +83,10 @@
 };
 
 /** Computes the capacity and refill rate of this daemon's bucket from its share of the remaining budget. */
-export const computeAllotment = (view: SpendingView): BucketRefill => {
-	const remaining = Math.max(0, computeRoom(view));
-	const share = computeShare({...view, daemons: view.heardDaemons});
-	return {most: remaining * share * burstPart, perMs: remaining * share * spendablePartPerGossipDelay / view.gossipMs};
+export const computeBucketRefill = (view: SpendingView): BucketRefill => {
+	const remaining = Math.max(0, computeRemainingBudget(view));
+	const share = computeShare({...view, daemons: view.reportingDaemons});
+	return {most: remaining * share * burstPart, perMs: remaining * share * spendablePartPerGossipDelay / view.gossipDelayMs};
 };
 
 /**
@@ -94,7 +94,7 @@
  * enough spending has left the window for the call and for the other demand.
  */
 export const estimateWait = (view: SpendingView, cost: number): number => {
-	const share = computeShare({...view, daemons: view.heardDaemons});
-	const shortfall = Math.max(0, -computeRoom(view)) + (cost / share);
+	const share = computeShare({...view, daemons: view.reportingDaemons});
+	const shortfall = Math.max(0, -computeRemainingBudget(view)) + (cost / share);
 	return Math.min(view.windowMs, shortfall * view.windowMs / Math.max(1, view.spent));
 };
--- a/packages/core/src/quotas/compute-ceiling.ts
+++ b/packages/core/src/quotas/compute-ceiling.ts
@@ -50,4 +50,4 @@
 };
 
 /** Computes the maximum that daemons grant for any call. */
-export const computeMostUsable = (limit: AccountLimit, bounds: LimitBounds): number => computeUsable(limit, bounds, {cost: Infinity, rank: 0});
+export const computeMaxUsable = (limit: AccountLimit, bounds: LimitBounds): number => computeUsable(limit, bounds, {cost: Infinity, rank: 0});
--- a/packages/core/src/quotas/quotas.test.ts
+++ b/packages/core/src/quotas/quotas.test.ts
@@ -3,15 +3,15 @@
 import fc from 'fast-check';
 import {makeRandom} from '../testing/make-random.js';
 import {
-	type LimitPlay, type PlayedCall, playLimit, smallCost,
-} from '../testing/play-limit.js';
-import {openBucket, takeFromBucket} from './account-bucket.js';
+	type LimitSimulation, type SimulatedCall, simulateLimit, smallCost,
+} from '../testing/simulate-limit.js';
+import {makeBucket, takeFromBucket} from './account-bucket.js';
 import {
-	computeRoom, computeShare, estimateWait, hasRoom, type SpendingView,
-} from './account-room.js';
+	computeRemainingBudget, computeShare, estimateWait, hasBudget, type SpendingView,
+} from './account-budget.js';
 import {computeCeiling} from './compute-ceiling.js';
 import {
-	ageSlots, noteSpent, openSpending, predictSlots, readSpent, readSpentSlots, sumSlots,
+	ageSlots, recordSpent, makeSpending, predictSlots, computeSpent, computeSpentSlots, sumSlots,
 } from './spending.js';
 
 const bounds = {quotaWindowMs: 8000, quotaOvershoot: 0.1, quotaSlack: 140_000};
@@ -23,7 +23,7 @@
 const ceiling = computeCeiling(limit, bounds);
 
 const view: SpendingView = {
-	usable: 95, windowMs: 8000, spent: 40, ownDemand: 1, otherDemands: [], heardDaemons: 9, silentDaemons: 0, gossipMs: 400,
+	usable: 95, windowMs: 8000, spent: 40, ownDemand: 1, otherDemands: [], reportingDaemons: 9, silentDaemons: 0, gossipDelayMs: 400,
 };
 
 test('the shares of all daemons sum to 1 for any distribution of callers', () => {
@@ -34,7 +34,7 @@
 	}), {seed: 1});
 });
 
-const computeMaxInWindow = (calls: readonly PlayedCall[]): number => {
+const computeMaxInWindow = (calls: readonly SimulatedCall[]): number => {
 	const admitted = calls.filter(call => call.isAdmitted);
 	let maxSpent = 0;
 	let sum = 0;
@@ -52,22 +52,22 @@
 	return maxSpent;
 };
 
-const sumAdmitted = (calls: readonly PlayedCall[], from: number, to: number): number =>
+const sumAdmitted = (calls: readonly SimulatedCall[], from: number, to: number): number =>
 	calls.reduce((sum, {at, cost, isAdmitted}) => sum + (isAdmitted && at >= from && at < to ? cost : 0), 0);
 
-const nineDaemons: Omit<LimitPlay, 'random' | 'getAsked'> = {
-	daemons: 9, limit, bounds, tellEveryMs: 300, gossipMs: 400, meanCost: 4000, lengthMs: 30_000,
+const nineDaemons: Omit<LimitSimulation, 'random' | 'getAsked'> = {
+	daemons: 9, limit, bounds, gossipIntervalMs: 300, gossipDelayMs: 400, meanCost: 4000, durationMs: 30_000,
 };
 
 const seeds = Array.from({length: 10}, (_seed, index) => index + 1);
 
 test('grants most of the limit without exceeding the ceiling when an account requests many times its limit', () => {
 	for (const daemons of [3, 9, 90]) {
-		const gossipTiming = daemons > 12 ? {tellEveryMs: 900, gossipMs: 1000} : {};
+		const gossipTiming = daemons > 12 ? {gossipIntervalMs: 900, gossipDelayMs: 1000} : {};
 		for (const times of daemons > 12 ? [1.5, 3, 6] : [1.5, 3, 12]) {
 			for (const seed of seeds) {
 				const random = makeRandom(seed);
-				const calls = playLimit({
+				const calls = simulateLimit({
 					...nineDaemons, ...gossipTiming, daemons, random, getAsked: now => now < 6000 ? 40_000 : 100_000 * times,
 				});
 				const maxSpent = computeMaxInWindow(calls);
@@ -82,7 +82,7 @@
 
 test('admits all calls of an account that stays below its limit', () => {
 	for (const seed of seeds) {
-		const calls = playLimit({...nineDaemons, random: makeRandom(seed), getAsked: () => 95_000});
+		const calls = simulateLimit({...nineDaemons, random: makeRandom(seed), getAsked: () => 95_000});
 		assert.equal(calls.filter(call => !call.isAdmitted).length, 0, `seed ${seed}`);
 	}
 });
@@ -90,8 +90,8 @@
 test('admits most small calls of an account whose long prompts exceed its limit', () => {
 	const requested = {small: 0, refused: 0};
 	for (const seed of seeds) {
-		const calls = playLimit({
-			...nineDaemons, random: makeRandom(seed), smallPart: 0.3, getAsked: () => 500_000,
+		const calls = simulateLimit({
+			...nineDaemons, random: makeRandom(seed), smallCallFraction: 0.3, getAsked: () => 500_000,
 		});
 		const maxSpent = computeMaxInWindow(calls);
 		assert.ok(maxSpent <= ceiling, `seed ${seed}: ${Math.round(maxSpent)} of ${ceiling}`);
@@ -107,8 +107,8 @@
 	const admitted = [0, 0, 0];
 	const requested = [0, 0, 0];
 	for (const seed of seeds) {
-		const calls = playLimit({
-			...nineDaemons, random: makeRandom(seed), lessUrgentPart: 0.3, getAsked: () => 250_000,
+		const calls = simulateLimit({
+			...nineDaemons, random: makeRandom(seed), lessUrgentFraction: 0.3, getAsked: () => 250_000,
 		});
 		for (const call of calls.filter(({at}) => at > 8000)) {
 			requested[call.rank]! += call.cost;
@@ -124,8 +124,8 @@
 test('neither rejects calls for seconds nor resets the limit after all daemons restart at once', () => {
 	let total = 0;
 	for (const seed of seeds) {
-		const calls = playLimit({
-			...nineDaemons, random: makeRandom(seed), getAsked: () => 250_000, endsAt: 13_000,
+		const calls = simulateLimit({
+			...nineDaemons, random: makeRandom(seed), getAsked: () => 250_000, stopsAt: 13_000,
 		});
 		const maxSpent = computeMaxInWindow(calls);
 		assert.ok(maxSpent <= ceiling, `seed ${seed}: ${Math.round(maxSpent)} of ${ceiling}`);
@@ -140,8 +140,8 @@
 	const random = makeRandom(7);
 	let admitted = 0;
 	for (let index = 0; index < 10_000; index++) {
-		const decision = takeFromBucket({...openBucket(0), level: 300}, {
-			cost: 1000, now: 0, isOpen: false, allotment: {most: 300, perMs: 0}, random,
+		const decision = takeFromBucket({...makeBucket(0), level: 300}, {
+			cost: 1000, now: 0, isUnrestricted: false, refill: {most: 300, perMs: 0}, random,
 		});
 		assert.equal(decision.bucket.level, 0);
 		admitted += decision.isAdmitted ? 1 : 0;
@@ -151,16 +151,16 @@
 });
 
 test('spending from before a restart of all daemons leaves the window gradually', () => {
-	const spending = openSpending(8000);
-	noteSpent(spending, 700, 1000);
-	noteSpent(spending, 300, 7500);
-	const slots = readSpentSlots(spending, 8000);
+	const spending = makeSpending(8000);
+	recordSpent(spending, 700, 1000);
+	recordSpent(spending, 300, 7500);
+	const slots = computeSpentSlots(spending, 8000);
 	assert.deepEqual(slots, [300, 0, 0, 0, 0, 0, 0, 700]);
 	assert.deepEqual(ageSlots(slots, 500, 8000), [150, 150, 0, 0, 0, 0, 0, 350]);
 	assert.deepEqual(ageSlots(slots, 1000, 8000), [0, 300, 0, 0, 0, 0, 0, 0]);
 	assert.equal(sumSlots(ageSlots(slots, 7500, 8000)), 150);
 	assert.equal(sumSlots(ageSlots(slots, 8000, 8000)), 0);
-	assert.equal(sumSlots(slots), readSpent(spending, 8000));
+	assert.equal(sumSlots(slots), computeSpent(spending, 8000));
 });
 
 test('predicted spending does not grow beyond what the account may spend', () => {
@@ -173,15 +173,15 @@
 });
 
 test('a daemon that receives fewer reports grants less of the budget', () => {
-	assert.equal(hasRoom(view, 1), true);
-	const partitioned = {...view, heardDaemons: 3, silentDaemons: 6};
-	assert.equal(hasRoom(partitioned, 1), false);
-	assert.ok(computeRoom(partitioned) < 0);
+	assert.equal(hasBudget(view, 1), true);
+	const partitioned = {...view, reportingDaemons: 3, silentDaemons: 6};
+	assert.equal(hasBudget(partitioned, 1), false);
+	assert.ok(computeRemainingBudget(partitioned) < 0);
 });
 
 test('the retry delay lasts until the call is likely to be admitted and is at most one window', () => {
 	const exhausted = {
-		...view, spent: 95, heardDaemons: 1,
+		...view, spent: 95, reportingDaemons: 1,
 	};
 	const soon = estimateWait(exhausted, 10);
 	assert.ok(soon > 800 && soon < 1000, String(soon));
--- a/packages/core/src/quotas/spending.ts
+++ b/packages/core/src/quotas/spending.ts
@@ -7,7 +7,7 @@
 	total: number;
 };
 
-export const openSpending = (windowMs: number): Spending => ({windowMs, entries: [], total: 0});
+export const makeSpending = (windowMs: number): Spending => ({windowMs, entries: [], total: 0});
 
 const dropExpired = (spending: Spending, now: number): void => {
 	const windowStart = now - spending.windowMs;
@@ -20,13 +20,13 @@
 	spending.entries.splice(0, dropped);
 };
 
-export const noteSpent = (spending: Spending, cost: number, now: number): void => {
+export const recordSpent = (spending: Spending, cost: number, now: number): void => {
 	dropExpired(spending, now);
 	spending.entries.push({at: now, cost});
 	spending.total += cost;
 };
 
-export const readSpent = (spending: Spending, now: number): number => {
+export const computeSpent = (spending: Spending, now: number): number => {
 	dropExpired(spending, now);
 	return spending.total;
 };
@@ -35,7 +35,7 @@
 const slotCount = 8;
 
 /** Computes the cost that was spent in each slot of the window, newest first. */
-export const readSpentSlots = (spending: Spending, now: number): number[] => {
+export const computeSpentSlots = (spending: Spending, now: number): number[] => {
 	dropExpired(spending, now);
 	const slots = Array.from<number>({length: slotCount}).fill(0);
 	const slotMs = spending.windowMs / slotCount;
--- a/packages/core/src/retries/crash-register.ts
+++ b/packages/core/src/retries/crash-register.ts
@@ -5,12 +5,12 @@
 
 export type CrashRegister = {
 	/** Digest → incarnations of backend servers that ended while running the request. */
-	readonly endedBy: ReadonlyMap<string, readonly string[]>;
+	readonly crashedIncarnations: ReadonlyMap<string, readonly string[]>;
 	/** Digest → expiry time, on the steady clock. */
 	readonly forgetAt: ReadonlyMap<string, number>;
 };
 
-export const emptyCrashRegister: CrashRegister = {endedBy: new Map(), forgetAt: new Map()};
+export const emptyCrashRegister: CrashRegister = {crashedIncarnations: new Map(), forgetAt: new Map()};
 
 /** Number of crashed backend servers after which a request is refused. One crash may be a coincidence, two are not. */
 const crashesUntilRefused = 2;
@@ -22,13 +22,13 @@
 const maxDigests = 2000;
 
 /** Records a crash of a backend server incarnation and evicts expired or excess digests. Returns the updated register. */
-export const noteCrash = (register: CrashRegister, digest: string, incarnation: string, now: number): CrashRegister => {
-	const knownIncarnations = register.endedBy.get(digest) ?? [];
+export const recordCrash = (register: CrashRegister, digest: string, incarnation: string, now: number): CrashRegister => {
+	const knownIncarnations = register.crashedIncarnations.get(digest) ?? [];
 	if (knownIncarnations.includes(incarnation)) {
 		return register;
 	}
 
-	const crashedIncarnations = new Map(register.endedBy);
+	const crashedIncarnations = new Map(register.crashedIncarnations);
 	const forgetAt = new Map(register.forgetAt);
 	crashedIncarnations.delete(digest);
 	crashedIncarnations.set(digest, [...knownIncarnations, incarnation]);
@@ -42,9 +42,9 @@
 		forgetAt.delete(oldDigest);
 	}
 
-	return {endedBy: crashedIncarnations, forgetAt};
+	return {crashedIncarnations, forgetAt};
 };
 
-export const isRefusedForCrashes = (register: CrashRegister, digest: string): boolean => (register.endedBy.get(digest)?.length ?? 0) >= crashesUntilRefused;
+export const isRefusedForCrashes = (register: CrashRegister, digest: string): boolean => (register.crashedIncarnations.get(digest)?.length ?? 0) >= crashesUntilRefused;
 
-export const hasCrashed = (register: CrashRegister, digest: string): boolean => register.endedBy.has(digest);
+export const hasCrashed = (register: CrashRegister, digest: string): boolean => register.crashedIncarnations.has(digest);
--- a/packages/core/src/retries/repeat-allowance.ts
+++ b/packages/core/src/retries/repeat-allowance.ts
@@ -18,7 +18,7 @@
 	readonly daemons: number;
 };
 
-export const emptyAllowance = (): RepeatAllowance => ({calls: [], repeats: []});
+export const makeRepeatAllowance = (): RepeatAllowance => ({calls: [], repeats: []});
 
 /** Share of the ratio and the slack that is used. The rest is for daemons that are not known yet. */
 const usedShare = 0.7;
@@ -28,7 +28,7 @@
 	timestamps.splice(0, firstKept === -1 ? timestamps.length : firstKept);
 };
 
-export const noteCall = (allowance: RepeatAllowance, limit: RepeatLimit, now: number): void => {
+export const recordCall = (allowance: RepeatAllowance, limit: RepeatLimit, now: number): void => {
 	allowance.calls.push(now);
 	// Scanning the list on every call would cost as much as the call itself.
 	if (allowance.calls.length % 64 === 0) {
--- a/packages/core/src/retries/patience.ts
+++ b/packages/core/src/retries/silence-timeout.ts
@@ -3,7 +3,7 @@
  * server may keep its connections open; without a timeout the call would wait until its deadline
  * although another backend server could answer in time.
  */
-import {isStream, mayRunAgain, type Repeatability} from '../calls/types.js';
+import {isStream, isRepeatable, type Repeatability} from '../calls/types.js';
 
 /** Minimum silence timeouts: healthy backend servers send nothing while they prefill a long prompt or run a long call. */
 const minStreamTimeoutMs = 700;
@@ -13,8 +13,8 @@
 const predictedWaitFactor = 3;
 
 /** Computes the silence timeout in milliseconds; undefined for calls that must not run twice. */
-export const computePatience = (repeatability: Repeatability, predictedMs: number): number | undefined => {
-	if (!mayRunAgain(repeatability)) {
+export const computeSilenceTimeout = (repeatability: Repeatability, predictedMs: number): number | undefined => {
+	if (!isRepeatable(repeatability)) {
 		return undefined;
 	}
 
@@ -22,4 +22,4 @@
 };
 
 /** Silence within a stream after which it resumes on another backend server; equals several steps of an engine under load. */
-export const stalledStreamMs = 500;
+export const streamStallTimeoutMs = 500;
--- a/packages/core/src/retries/suspects.test.ts
+++ b/packages/core/src/retries/suspects.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import {
-	forgetSuspects, isPastDeath, mergeSuspects, recordDeath, type Suspect, type SuspectState,
+	expireSuspects, hasPassedDeathPosition, mergeSuspects, recordDeath, type Suspect, type SuspectState,
 } from './suspects.js';
 
 const empty: SuspectState = new Map();
@@ -37,8 +37,8 @@
 	// would crash further engines at the same token.
 	const state = recordTestDeath(empty, {backendId: 'a', tokens: 100});
 	const suspect = state.get('f');
-	assert.deepEqual([8, 100, 107, 108].map(tokens => isPastDeath(suspect, tokens)), [false, false, false, true]);
-	assert.equal(isPastDeath(undefined, 8), true);
+	assert.deepEqual([8, 100, 107, 108].map(tokens => hasPassedDeathPosition(suspect, tokens)), [false, false, false, true]);
+	assert.equal(hasPassedDeathPosition(undefined, 8), true);
 });
 
 test('daemons that receive crash reports in any order reach the same state', () => {
@@ -62,6 +62,6 @@
 test('a suspect expires at its stored time', () => {
 	const state = recordTestDeath(empty, {backendId: 'a'});
 	const {forgetAt} = state.get('f')!;
-	assert.equal(forgetSuspects(state, forgetAt - 1).size, 1);
-	assert.equal(forgetSuspects(state, forgetAt).size, 0);
+	assert.equal(expireSuspects(state, forgetAt - 1).size, 1);
+	assert.equal(expireSuspects(state, forgetAt).size, 0);
 });
--- a/packages/core/src/retries/suspects.ts
+++ b/packages/core/src/retries/suspects.ts
@@ -43,7 +43,7 @@
 const massReclaimDeaths = 3;
 
 /** Time window in which crashes of one availability zone are counted. */
-export const zoneWaveWindowMs = 2000;
+export const massReclaimWindowMs = 2000;
 
 /** Marks all requests in flight at a crash as suspects. Returns the updated state. */
 export const recordDeath = (options: DeathOptions): SuspectState => {
@@ -86,17 +86,17 @@
 	return next;
 };
 
-export const forgetSuspects = (state: SuspectState, now: number): SuspectState =>
+export const expireSuspects = (state: SuspectState, now: number): SuspectState =>
 	new Map([...state].filter(([, suspect]) => suspect.forgetAt > now));
 
 /** Number of tokens past the crash position after which an isolated request is cleared. */
 const tokensUntilCleared = 8;
 
 /** Whether the answer of an isolated suspect has progressed far enough to clear it. */
-export const isPastDeath = (suspect: Suspect | undefined, tokens: number): boolean =>
+export const hasPassedDeathPosition = (suspect: Suspect | undefined, tokens: number): boolean =>
 	tokens >= (suspect?.tokens ?? 0) + tokensUntilCleared;
 
-export const liftSuspect = (state: SuspectState, fingerprint: string): SuspectState => {
+export const removeSuspect = (state: SuspectState, fingerprint: string): SuspectState => {
 	const next = new Map(state);
 	next.delete(fingerprint);
 	return next;
--- a/packages/core/src/routing/hash-prompt.ts
+++ b/packages/core/src/routing/hash-prompt.ts
@@ -1,5 +1,5 @@
 /** Hash chains over prompt blocks. Two prompts share a prefix exactly as far as their chains are equal. */
-import {hashTextWide} from './rank-by-rendezvous.js';
+import {hashText64} from './rank-by-rendezvous.js';
 
 /** Characters per block, about 64 tokens of ordinary text. */
 export const blockCharacters = 256;
@@ -15,7 +15,7 @@
 	let previous = 0n;
 	const end = Math.min(prompt.length - blockCharacters, (maxBlocks - 1) * blockCharacters);
 	for (let start = 0; start <= end; start += blockCharacters) {
-		previous = hashTextWide(prompt.slice(start, start + blockCharacters), previous);
+		previous = hashText64(prompt.slice(start, start + blockCharacters), previous);
 		chain.push(previous);
 	}
 
--- a/packages/core/src/routing/known-prefixes.ts
+++ b/packages/core/src/routing/known-prefixes.ts
@@ -29,7 +29,7 @@
 };
 
 /** Records blocks that the engine has prefilled or reported as cached. */
-export const notePrefix = (known: KnownPrefixes, backendId: string, chain: readonly bigint[]): void => {
+export const recordPrefix = (known: KnownPrefixes, backendId: string, chain: readonly bigint[]): void => {
 	let blocks = known.byBackend.get(backendId);
 	if (blocks === undefined) {
 		blocks = new Map();
@@ -53,7 +53,7 @@
 };
 
 /** Removes blocks that the engine reported as evicted. */
-export const dropPrefix = (known: KnownPrefixes, backendId: string, hashes: readonly bigint[]): void => {
+export const removeBlocks = (known: KnownPrefixes, backendId: string, hashes: readonly bigint[]): void => {
 	const blocks = known.byBackend.get(backendId);
 	for (const hash of hashes) {
 		blocks?.delete(hash);
@@ -61,7 +61,7 @@
 	}
 };
 
-export const forgetBackend = (known: KnownPrefixes, backendId: string): void => {
+export const removeBackend = (known: KnownPrefixes, backendId: string): void => {
 	for (const hash of known.byBackend.get(backendId)?.keys() ?? []) {
 		removeHolder(known, hash, backendId);
 	}
--- a/packages/core/src/routing/policies.ts
+++ b/packages/core/src/routing/policies.ts
@@ -2,7 +2,7 @@
 import {isCandidate, listCandidates} from './list-candidates.js';
 import {
 	findPreferredBackend, getAffinityBlock, getAffinityKey, scoreMember,
-} from './find-home.js';
+} from './find-preferred-backend.js';
 import {computeCost, estimateCachedBlocks} from './compute-cost.js';
 import {estimateLoad} from './predict-wait.js';
 import {type BackendView, type RoutingPolicy} from './types.js';
@@ -39,7 +39,7 @@
 	pickLowest(listCandidates(call, backends), backend => estimateLoad(backend));
 
 /** Chooses the less loaded of two random candidates. */
-export const chooseTwoChoices: RoutingPolicy = ({call, backends, random}) => {
+export const choosePowerOfTwo: RoutingPolicy = ({call, backends, random}) => {
 	const candidates = listCandidates(call, backends);
 	const pair = [pickRandom(candidates, random), pickRandom(candidates, random)].filter(backend => backend !== undefined);
 	return pickLowest(pair, backend => estimateLoad(backend));
--- a/packages/core/src/routing/predict-wait.ts
+++ b/packages/core/src/routing/predict-wait.ts
@@ -31,4 +31,4 @@
 
 /** Predicts the total delay that the prefill causes for running calls with a latency target, each of which waits for it, in milliseconds. */
 export const predictDelayToOthers = (backend: BackendView, call: RoutedCall, cachedBlocks: number): number =>
-	predictPrefill(backend, call, cachedBlocks) * backend.urgent;
+	predictPrefill(backend, call, cachedBlocks) * backend.urgentCalls;
--- a/packages/core/src/routing/rank-by-rendezvous.ts
+++ b/packages/core/src/routing/rank-by-rendezvous.ts
@@ -7,7 +7,7 @@
 export const hashText = (text: string): number => h32(text);
 
 /** 64-bit hash of a text, for hash chains, in which a collision would match a wrong prefix. */
-export const hashTextWide = (text: string, seed = 0n): bigint => h64(text, seed);
+export const hashText64 = (text: string, seed = 0n): bigint => h64(text, seed);
 
 /** Sorts the members by their weight for the key; the owner of the key is first. */
 export const rankByRendezvous = (key: string, members: readonly string[]): string[] => members
--- a/packages/core/src/routing/routing.test.ts
+++ b/packages/core/src/routing/routing.test.ts
@@ -2,20 +2,20 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import {makeRandom} from '../testing/make-random.js';
-import {findPreferredBackend} from './find-home.js';
+import {findPreferredBackend} from './find-preferred-backend.js';
 import {hashPrompt} from './hash-prompt.js';
 import {
-	countCachedBlocks, dropPrefix, forgetBackend, listHolders, makeKnownPrefixes, notePrefix,
+	countCachedBlocks, removeBlocks, removeBackend, listHolders, makeKnownPrefixes, recordPrefix,
 } from './known-prefixes.js';
-import {learnSpeed, unknownSpeed} from './learn-speed.js';
+import {updateSpeed, defaultSpeed} from './speed-estimate.js';
 import {
-	chooseLeastRequests, chooseLowestCost, choosePrefixAffinity, chooseTwoChoices, makeRoundRobin,
+	chooseLeastRequests, chooseLowestCost, choosePrefixAffinity, choosePowerOfTwo, makeRoundRobin,
 } from './policies.js';
 import {hashText} from './rank-by-rendezvous.js';
 import {type BackendView, type RoutedCall, type RoutingContext} from './types.js';
 
 const makeBackend = (id: string, change: Partial<BackendView> = {}): BackendView => ({
-	id, idHash: hashText(id), address: '', availabilityZone: 'z', machineClass: 'a', services: ['s'], checksFencing: false, isLeaving: false, avoidUntil: 0, running: 0, sentSinceReport: 0, speed: unknownSpeed, pendingTokens: 0, urgent: 0, cacheTokens: 0, limit: 64, price: 0, ...change,
+	id, idHash: hashText(id), address: '', availabilityZone: 'z', machineClass: 'a', services: ['s'], checksFencing: false, isLeaving: false, avoidUntil: 0, running: 0, sentSinceReport: 0, speed: defaultSpeed, pendingTokens: 0, urgentCalls: 0, cacheTokens: 0, limit: 64, price: 0, ...change,
 });
 
 const makeCall = (change: Partial<RoutedCall> = {}): RoutedCall => ({
@@ -35,7 +35,7 @@
 
 test('no policy chooses a backend server that is leaving, was tried or does not serve the service', () => {
 	const backends = [makeBackend('leaving', {isLeaving: true}), makeBackend('tried'), makeBackend('other', {services: ['else']}), makeBackend('right')];
-	for (const policy of [chooseLowestCost, chooseLeastRequests, chooseTwoChoices, choosePrefixAffinity, makeRoundRobin()]) {
+	for (const policy of [chooseLowestCost, chooseLeastRequests, choosePowerOfTwo, choosePrefixAffinity, makeRoundRobin()]) {
 		const call = makeCall({excluded: new Set(['tried']), chain: [5n]});
 		assert.equal(policy(makeContext(call, backends))?.id, 'right');
 		assert.equal(policy(makeContext(call, backends.slice(0, 3))), undefined);
@@ -51,7 +51,7 @@
 test('the engine that has the prompt cached is chosen unless its wait is longer than a new prefill', () => {
 	const known = makeKnownPrefixes(100);
 	const chain = [1n, 2n, 3n, 4n, 5n, 6n, 7n, 8n, 9n, 10n, 11n, 12n];
-	notePrefix(known, 'b3', chain);
+	recordPrefix(known, 'b3', chain);
 	const call = makeCall({chain, promptTokens: 770});
 	assert.equal(chooseLowestCost(makeContext(call, makeBackends(20), known))?.id, 'b3');
 	const busy = makeBackends(20).map(backend => backend.id === 'b3' ? {...backend, report: {running: 64, queued: 80, at: 0}} : backend);
@@ -114,11 +114,11 @@
 		const known = makeKnownPrefixes(4);
 		for (const {kind, id, blocks} of steps) {
 			if (kind === 'note') {
-				notePrefix(known, id, blocks);
+				recordPrefix(known, id, blocks);
 			} else if (kind === 'drop') {
-				dropPrefix(known, id, blocks);
+				removeBlocks(known, id, blocks);
 			} else {
-				forgetBackend(known, id);
+				removeBackend(known, id);
 			}
 
 			for (const backend of ['a', 'b']) {
@@ -132,10 +132,10 @@
 });
 
 test('speeds that differ widely are estimated from answers', () => {
-	let [slow, fast] = [unknownSpeed, unknownSpeed];
+	let [slow, fast] = [defaultSpeed, defaultSpeed];
 	for (let index = 0; index < 20; index++) {
-		slow = learnSpeed(slow, {firstTokenMs: 200, tokenMs: 60, uncachedTokens: 10});
-		fast = learnSpeed(fast, {firstTokenMs: 20, tokenMs: 8, uncachedTokens: 10});
+		slow = updateSpeed(slow, {firstTokenMs: 200, tokenMs: 60, uncachedTokens: 10});
+		fast = updateSpeed(fast, {firstTokenMs: 20, tokenMs: 8, uncachedTokens: 10});
 	}
 
 	const backends = [makeBackend('slow', {speed: slow}), makeBackend('fast', {speed: fast, running: 5})];
--- a/packages/core/src/routing/learn-speed.ts
+++ b/packages/core/src/routing/speed-estimate.ts
@@ -5,7 +5,7 @@
 const sampleWeight = 0.2;
 
 /** Initial estimate: an average engine, so that an unmeasured one is neither avoided nor overloaded. */
-export const unknownSpeed: SpeedEstimate = {
+export const defaultSpeed: SpeedEstimate = {
 	firstTokenMs: 20, tokenMs: 10, prefillTokenMs: 0.1, samples: 0,
 };
 
@@ -34,7 +34,7 @@
 	sample === undefined ? minimum : Math.min(sample, (minimum ?? sample) * minimumGrowth);
 
 /** Updates the estimate from one answer. */
-export const learnSpeed = (speed: SpeedEstimate, sample: SpeedSample): SpeedEstimate => {
+export const updateSpeed = (speed: SpeedEstimate, sample: SpeedSample): SpeedEstimate => {
 	const isLong = sample.uncachedTokens >= longPromptTokens;
 	const prefillTokenMs = Math.max(0, sample.firstTokenMs - speed.firstTokenMs) / Math.max(1, sample.uncachedTokens);
 	return {
--- a/packages/core/src/routing/types.ts
+++ b/packages/core/src/routing/types.ts
@@ -40,7 +40,7 @@
 	/** Estimated prompt tokens of this daemon's calls that are not prefilled yet. */
 	readonly pendingTokens: number;
 	/** Running calls of this daemon that have a latency target. */
-	readonly urgent: number;
+	readonly urgentCalls: number;
 	/** Highest reported number of prompt tokens in the cache, used as its capacity. */
 	readonly cacheTokens: number;
 	/** Maximum number of concurrent calls of this daemon. */
--- a/packages/core/src/testing/play-limit.ts
+++ b/packages/core/src/testing/simulate-limit.ts
@@ -1,39 +1,39 @@
 /** Simulates the calls of one client account to several daemons that share its rate limit, in virtual time. */
 import {type AccountLimit} from '../calls/serving-configuration.js';
 import {
-	type AccountBucket, noteDemand, openBucket, readDemand, takeFromBucket,
+	type AccountBucket, recordDemand, makeBucket, computeDemand, takeFromBucket,
 } from '../quotas/account-bucket.js';
-import {computeAllotment, hasRoom, type SpendingView} from '../quotas/account-room.js';
+import {computeBucketRefill, hasBudget, type SpendingView} from '../quotas/account-budget.js';
 import {
-	computeMostUsable, computeUsable, type LimitBounds, type LimitedCall,
+	computeMaxUsable, computeUsable, type LimitBounds, type LimitedCall,
 } from '../quotas/compute-ceiling.js';
 import {
-	addSlots, ageSlots, noteSpent, openSpending, predictSlots, readSpentSlots, type Spending, sumSlots,
+	addSlots, ageSlots, recordSpent, makeSpending, predictSlots, computeSpentSlots, type Spending, sumSlots,
 } from '../quotas/spending.js';
 
-export type LimitPlay = {
+export type LimitSimulation = {
 	readonly daemons: number;
 	readonly limit: AccountLimit;
 	readonly bounds: LimitBounds;
 	/** Interval between two gossip reports of a daemon, in milliseconds. */
-	readonly tellEveryMs: number;
+	readonly gossipIntervalMs: number;
 	/** Time until all daemons know a report, in milliseconds. */
-	readonly gossipMs: number;
+	readonly gossipDelayMs: number;
 	/** Returns the requested cost units per second at a time. */
 	readonly getAsked: (now: number) => number;
 	/** Mean cost of a call. Costs are exponentially distributed, up to five times the mean. */
 	readonly meanCost: number;
 	/** Fraction of the calls that cost only `smallCost`. */
-	readonly smallPart?: number;
+	readonly smallCallFraction?: number;
 	/** Fraction of the calls that are two ranks less urgent. */
-	readonly lessUrgentPart?: number;
+	readonly lessUrgentFraction?: number;
 	/** When all daemons stop, to restart half a second later. Undefined if they keep running. */
-	readonly endsAt?: number;
-	readonly lengthMs: number;
+	readonly stopsAt?: number;
+	readonly durationMs: number;
 	readonly random: () => number;
 };
 
-export type PlayedCall = {
+export type SimulatedCall = {
 	readonly at: number;
 	readonly cost: number;
 	readonly rank: number;
@@ -57,11 +57,11 @@
 /** Time from the stop of all daemons to their restart. */
 const restartMs = 500;
 
-const startDaemon = (simulation: LimitPlay, now: number): Daemon => ({
-	spending: openSpending(simulation.bounds.quotaWindowMs),
-	bucket: openBucket(now),
+const startDaemon = (simulation: LimitSimulation, now: number): Daemon => ({
+	spending: makeSpending(simulation.bounds.quotaWindowMs),
+	bucket: makeBucket(now),
 	lastReport: {slots: [], demand: 0},
-	nextReportAt: now + (simulation.random() * simulation.tellEveryMs),
+	nextReportAt: now + (simulation.random() * simulation.gossipIntervalMs),
 });
 
 /** Rank of less urgent calls. The others have rank 0. */
@@ -70,23 +70,23 @@
 /** Cost of a small call, in cost units. */
 export const smallCost = 200;
 
-const drawCost = ({meanCost, smallPart = 0, random}: LimitPlay): number => random() < smallPart ? smallCost : Math.min(meanCost * 5, -Math.log(1 - random()) * meanCost);
+const drawCost = ({meanCost, smallCallFraction = 0, random}: LimitSimulation): number => random() < smallCallFraction ? smallCost : Math.min(meanCost * 5, -Math.log(1 - random()) * meanCost);
 
 /** Simulates the calls in the order of their time and returns which of them were admitted. */
-export const playLimit = (simulation: LimitPlay): PlayedCall[] => {
+export const simulateLimit = (simulation: LimitSimulation): SimulatedCall[] => {
 	const {bounds, random} = simulation;
-	const usable = computeMostUsable(simulation.limit, bounds);
+	const usable = computeMaxUsable(simulation.limit, bounds);
 	let daemons = Array.from({length: simulation.daemons}, () => startDaemon(simulation, 0));
 	let record: {slots: readonly number[]; at: number} = {slots: [], at: 0};
 	let inherited = record;
 	let writtenAt = 0;
 	let hasStopped = false;
-	const calls: PlayedCall[] = [];
+	const calls: SimulatedCall[] = [];
 
 	const sendReport = (daemon: Daemon, now: number): void => {
 		if (now >= daemon.nextReportAt) {
-			daemon.lastReport = {slots: readSpentSlots(daemon.spending, now), demand: readDemand(daemon.bucket, now)};
-			daemon.nextReportAt += simulation.tellEveryMs;
+			daemon.lastReport = {slots: computeSpentSlots(daemon.spending, now), demand: computeDemand(daemon.bucket, now)};
+			daemon.nextReportAt += simulation.gossipIntervalMs;
 		}
 	};
 
@@ -112,30 +112,30 @@
 			usable: computeUsable(simulation.limit, bounds, {cost, rank}),
 			windowMs: bounds.quotaWindowMs,
 			spent: sumSlots(addSlots([
-				readSpentSlots(daemon.spending, now),
+				computeSpentSlots(daemon.spending, now),
 				...others.map(({lastReport}) => lastReport.slots),
 				ageSlots(inherited.slots, now - inherited.at, bounds.quotaWindowMs),
 			])),
-			ownDemand: readDemand(daemon.bucket, now),
+			ownDemand: computeDemand(daemon.bucket, now),
 			otherDemands: others.map(({lastReport}) => lastReport.demand),
-			heardDaemons: daemons.length,
+			reportingDaemons: daemons.length,
 			silentDaemons: 0,
-			gossipMs: simulation.gossipMs,
+			gossipDelayMs: simulation.gossipDelayMs,
 		};
 	};
 
 	const makeCall = (now: number): void => {
 		const daemon = daemons[Math.floor(random() * daemons.length)]!;
 		const cost = drawCost(simulation);
-		const rank = random() < (simulation.lessUrgentPart ?? 0) ? lessUrgentRank : 0;
-		daemon.bucket = noteDemand(daemon.bucket, cost, now);
+		const rank = random() < (simulation.lessUrgentFraction ?? 0) ? lessUrgentRank : 0;
+		daemon.bucket = recordDemand(daemon.bucket, cost, now);
 		const view = viewSpending(daemon, {cost, rank}, now);
 		const verdict = takeFromBucket(daemon.bucket, {
-			cost, now, isOpen: hasRoom(view, cost), allotment: computeAllotment(view), random,
+			cost, now, isUnrestricted: hasBudget(view, cost), refill: computeBucketRefill(view), random,
 		});
 		daemon.bucket = verdict.bucket;
 		if (verdict.isAdmitted) {
-			noteSpent(daemon.spending, cost, now);
+			recordSpent(daemon.spending, cost, now);
 		}
 
 		calls.push({
@@ -143,14 +143,14 @@
 		});
 	};
 
-	for (let now = 0; now < simulation.lengthMs; now += 10) {
-		if (simulation.endsAt !== undefined && !hasStopped && now >= simulation.endsAt) {
+	for (let now = 0; now < simulation.durationMs; now += 10) {
+		if (simulation.stopsAt !== undefined && !hasStopped && now >= simulation.stopsAt) {
 			hasStopped = true;
 			inherited = record;
 			daemons = daemons.map(() => startDaemon(simulation, now + restartMs));
 		}
 
-		if (hasStopped && now < (simulation.endsAt ?? 0) + restartMs) {
+		if (hasStopped && now < (simulation.stopsAt ?? 0) + restartMs) {
 			continue;
 		}
 
--- a/packages/core/src/usage/count-starts.ts
+++ b/packages/core/src/usage/count-starts.ts
@@ -10,10 +10,10 @@
 const retainedWindows = 8;
 
 /** Returns the index of the window that contains the time. */
-export const getWindow = (trueTimeMs: number, windowMs: number): number => Math.floor(trueTimeMs / windowMs);
+export const getWindowIndex = (trueTimeMs: number, windowMs: number): number => Math.floor(trueTimeMs / windowMs);
 
 /** Counts a started call and removes windows that are no longer kept. */
-export const noteStart = (tally: UsageTally, account: string, window: number): void => {
+export const recordStart = (tally: UsageTally, account: string, window: number): void => {
 	const counts = tally.get(window) ?? {};
 	counts[account] = (counts[account] ?? 0) + 1;
 	tally.set(window, counts);
--- a/packages/gateway/src/calls/admit-call.ts
+++ b/packages/gateway/src/calls/admit-call.ts
@@ -7,9 +7,9 @@
 import {type Account, type Route} from '@shallotpass/core/calls/serving-configuration.js';
 import {type Call} from '@shallotpass/core/calls/types.js';
 import {isRefusedForCrashes} from '@shallotpass/core/retries/crash-register.js';
-import {hashText, hashTextWide} from '@shallotpass/core/routing/rank-by-rendezvous.js';
+import {hashText, hashText64} from '@shallotpass/core/routing/rank-by-rendezvous.js';
 import {type GatewayState} from '../gateway-state.js';
-import {type CallerHead} from '../ports.js';
+import {type CallerHeaders} from '../ports.js';
 import {readRequestBody} from './read-request-body.js';
 import {type Refusal} from './refusal.js';
 import {type OutgoingRequest} from './run-at-backend.js';
@@ -34,7 +34,7 @@
 	readonly gateway: GatewayState;
 	readonly request: http.IncomingMessage;
 	readonly response: http.ServerResponse;
-	readonly head: CallerHead;
+	readonly head: CallerHeaders;
 	readonly timing: ResponseTiming;
 };
 
@@ -100,7 +100,7 @@
 const maxWarmUpWaitMs = 400;
 const warmUpPollMs = 20;
 
-const isWarmingUp = (gateway: GatewayState): boolean => gateway.configuration === undefined || gateway.directorySince === undefined || !gateway.hasSpending;
+const isWarmingUp = (gateway: GatewayState): boolean => gateway.configuration === undefined || gateway.directoryReadAt === undefined || !gateway.isSpendingLoaded;
 
 /** Waits for the initial state to load. A rejected caller retries only once, and would be served later than by waiting here. */
 const waitForWarmUp = async (gateway: GatewayState): Promise<void> => {
@@ -125,7 +125,7 @@
 };
 
 const makeCall = ({gateway, head}: CallContext, {route, account, service}: RequestTarget, arrivedAt: number): Call => {
-	const timeoutMs = Math.min(head.waitsMs ?? route.limitMs, route.limitMs);
+	const timeoutMs = Math.min(head.callerTimeoutMs ?? route.limitMs, route.limitMs);
 	return {
 		id: head.id ?? '',
 		account: account?.name,
@@ -136,7 +136,7 @@
 		targetAt: (arrivedAt + route.targetMs) as Deadline,
 		deadline: (arrivedAt + timeoutMs - deadlineMarginMs) as Deadline,
 		rank: Math.max(0, route.rank),
-		attemptsAllowed: Math.max(1, route.attempts),
+		maxAttempts: Math.max(1, route.attempts),
 		promptTokens: head.promptTokens ?? 0,
 		outputTokens: head.outputTokens ?? 0,
 		promptParts: head.promptParts,
@@ -170,7 +170,7 @@
 
 	const {account} = target;
 	const method = request.method ?? 'GET';
-	const digest = hashTextWide(`${account?.name ?? ''}\n${method}\n${path}\n${bodyResult.body.toString('latin1')}`).toString(16);
+	const digest = hashText64(`${account?.name ?? ''}\n${method}\n${path}\n${bodyResult.body.toString('latin1')}`).toString(16);
 	if (isRefusedForCrashes(gateway.crashes, digest)) {
 		return refuse('request_suspended', 'This request has ended the backend servers that ran it.', suspendedRetryAfterS);
 	}
--- a/packages/gateway/src/calls/backend-registry.ts
+++ b/packages/gateway/src/calls/backend-registry.ts
@@ -2,10 +2,10 @@
 import {type BackendEntry, type Directory} from '@shallotpass/core/directory/types.js';
 import {type BackendView, type Load} from '@shallotpass/core/placement/types.js';
 import {
-	computeEngineSpeed, emptyRecord, firstPace, noReading, type Reading, type ReadingRecord, readRecord, type ServicePace,
-} from '@shallotpass/core/placement/engine-pace.js';
-import {type PrefixMemory} from '@shallotpass/core/placement/prefix-memory.js';
-import {isZoneAlone} from '@shallotpass/core/gossip/limit-loads.js';
+	computeEngineSpeed, emptyPrefillRecord, defaultLatencyModel, emptyPrefillSample, type PrefillSample, type PrefillRecord, decayPrefillRecord, type LatencyModel,
+} from '@shallotpass/core/placement/engine-latency.js';
+import {type KnownParts} from '@shallotpass/core/placement/known-parts.js';
+import {usesOwnZoneOnly} from '@shallotpass/core/gossip/filter-loads.js';
 import {hashText} from '@shallotpass/core/routing/rank-by-rendezvous.js';
 import {BackendAgent} from './backend-agent.js';
 
@@ -28,8 +28,8 @@
 	othersRunning: number;
 	othersPendingTokens: number[];
 	/** Prompt processing as measured by this daemon, and as reported by the others. */
-	reading: ReadingRecord;
-	othersReading: Reading;
+	reading: PrefillRecord;
+	othersReading: PrefillSample;
 	/** Average duration of plain calls. */
 	plainMs: number;
 	/** Share of recent calls that failed, 0 to 1. */
@@ -49,7 +49,7 @@
 	/** When it is expected to stop, on the steady clock. */
 	leavesAt: number | undefined;
 	/** Prompt parts that it is expected to have cached. */
-	readonly prefixes: PrefixMemory;
+	readonly prefixes: KnownParts;
 	/** Digests of the calls that run on it, in case one of them crashes it. */
 	readonly runningDigests: Set<string>;
 };
@@ -61,7 +61,7 @@
 	/** Ready backend servers by service. */
 	readonly byService: Map<string, BackendState[]>;
 	/** Average speed of the backend servers by service, also assumed for new ones. */
-	readonly paces: Map<string, ServicePace>;
+	readonly paces: Map<string, LatencyModel>;
 };
 
 export const makeBackendRegistry = (): BackendRegistry => ({byId: new Map(), byService: new Map(), paces: new Map()});
@@ -75,8 +75,8 @@
 	pendingTokens: Array.from<number>({length: trackedRankCount}).fill(0),
 	othersRunning: 0,
 	othersPendingTokens: Array.from<number>({length: trackedRankCount}).fill(0),
-	reading: emptyRecord,
-	othersReading: noReading,
+	reading: emptyPrefillRecord,
+	othersReading: emptyPrefillSample,
 	plainMs: initialPlainMs,
 	failureShare: 0,
 	suspendedUntil: 0,
@@ -178,23 +178,23 @@
 };
 
 /** Speed of a backend server, computed from the measurements of all daemons and the average of its service. */
-export const getBackendPace = (registry: BackendRegistry, state: BackendState, now: number): ServicePace => {
-	const pace = registry.paces.get(state.entry.service) ?? firstPace;
-	return {...pace, tokensPerMs: computeEngineSpeed([readRecord(state.reading, now), state.othersReading], pace)};
+export const getBackendPace = (registry: BackendRegistry, state: BackendState, now: number): LatencyModel => {
+	const pace = registry.paces.get(state.entry.service) ?? defaultLatencyModel;
+	return {...pace, tokensPerMs: computeEngineSpeed([decayPrefillRecord(state.reading, now), state.othersReading], pace)};
 };
 
 /** Whether this daemon sends its calls to backend servers of its own availability zone only, for all services alike. */
-export const prefersOwnZone = (registry: BackendRegistry, ownZone: string): boolean => {
+export const isLimitedToOwnZone = (registry: BackendRegistry, ownZone: string): boolean => {
 	let inZone = 0;
 	for (const {entry} of registry.byId.values()) {
 		inZone += entry.availabilityZone === ownZone ? 1 : 0;
 	}
 
-	return isZoneAlone(registry.byId.size, inZone);
+	return usesOwnZoneOnly(registry.byId.size, inZone);
 };
 
 export type BackendViewOptions = {
-	readonly pace: ServicePace;
+	readonly pace: LatencyModel;
 	/** Estimated number of the call's prompt tokens that the backend server has cached. */
 	readonly cachedTokens: number;
 	/** Penalty that spreads calls over the backend servers. */
@@ -210,16 +210,16 @@
 
 export const toBackendView = (state: BackendState, {pace, cachedTokens, detourMs, maxOwnCalls, ownZone, now}: BackendViewOptions): BackendView => ({
 	id: state.entry.id,
-	isRemote: state.entry.availabilityZone !== ownZone,
+	isInOtherZone: state.entry.availabilityZone !== ownZone,
 	places: state.entry.places,
 	isReclaimable: state.entry.isReclaimable,
-	pace,
+	latencyModel: pace,
 	plainMs: state.plainMs,
 	own: toLoad(state.running, state.pendingTokens),
 	others: toLoad(state.othersRunning, state.othersPendingTokens),
-	failureShare: state.failureShare,
-	isFull: state.running >= maxOwnCalls,
+	failureRate: state.failureShare,
+	isAtConnectionLimit: state.running >= maxOwnCalls,
 	cachedTokens,
-	detourMs,
+	spreadPenaltyMs: detourMs,
 	silentMs: computeSilenceMs(state, now),
 });
--- a/packages/gateway/src/calls/call-attempts.ts
+++ b/packages/gateway/src/calls/call-attempts.ts
@@ -1,7 +1,7 @@
 /** Attempts of a call, shared by plain calls and streams: progress, retry decision and a single attempt. */
 import type http from 'node:http';
-import {judgeReach} from '@shallotpass/core/admission/judge-reach.js';
-import {type Call, mayRunAgain} from '@shallotpass/core/calls/types.js';
+import {computeRetryAfter} from '@shallotpass/core/admission/compute-retry-after.js';
+import {type Call, isRepeatable} from '@shallotpass/core/calls/types.js';
 import {takeRepeat} from '@shallotpass/core/retries/repeat-allowance.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type AdmittedCall, type CallContext} from './admit-call.js';
@@ -46,7 +46,7 @@
 		return false;
 	}
 
-	if (progress.possibleRuns > 0 && (!mayRunAgain(call.repeatability) || progress.possibleRuns >= call.attemptsAllowed)) {
+	if (progress.possibleRuns > 0 && (!isRepeatable(call.repeatability) || progress.possibleRuns >= call.maxAttempts)) {
 		return false;
 	}
 
@@ -80,7 +80,7 @@
 	const {gateway: {clocks, random}} = context;
 	const retryAfterS = progress.offers > 0
 		? undefined
-		: judgeReach({
+		: computeRetryAfter({
 			predictedMs: placement.choice.predictedMs, deadline: admitted.call.deadline, now: clocks.steady(), random,
 		});
 	if (retryAfterS !== undefined) {
--- a/packages/gateway/src/calls/callers-listener.ts
+++ b/packages/gateway/src/calls/callers-listener.ts
@@ -62,7 +62,7 @@
 	};
 };
 
-const isReady = (gateway: GatewayState): boolean => gateway.configuration !== undefined && gateway.directorySince !== undefined && gateway.hasSpending && gateway.drainingSince === undefined;
+const isReady = (gateway: GatewayState): boolean => gateway.configuration !== undefined && gateway.directoryReadAt !== undefined && gateway.isSpendingLoaded && gateway.drainingSince === undefined;
 
 /** Answers readiness checks: 200 while this daemon accepts calls, otherwise 503. */
 export const listenForReadinessChecks = async (gateway: GatewayState): Promise<http.Server> => {
--- a/packages/gateway/src/calls/place-call.ts
+++ b/packages/gateway/src/calls/place-call.ts
@@ -2,12 +2,12 @@
 import {type Call, isStream} from '@shallotpass/core/calls/types.js';
 import {type Choice, chooseBackend} from '@shallotpass/core/placement/choose-backend.js';
 import {needsRelays} from '@shallotpass/core/gossip/pick-relays.js';
-import {firstPace} from '@shallotpass/core/placement/engine-pace.js';
-import {countCachedTokens, findHome, getKeyHash} from '@shallotpass/core/placement/prompt-homes.js';
-import {computeDetour, computeUnseenMs} from '@shallotpass/core/placement/spread-choices.js';
-import {countDaemons, type GatewayState, peerSilentMs} from '../gateway-state.js';
+import {defaultLatencyModel} from '@shallotpass/core/placement/engine-latency.js';
+import {countCachedTokens, findPreferredBackend, getAffinityHash} from '@shallotpass/core/placement/prompt-affinity.js';
+import {computeOrderPosition, computeUnreportedMs} from '@shallotpass/core/placement/spread-choices.js';
+import {countDaemons, type GatewayState, peerExpiryMs} from '../gateway-state.js';
 import {
-	type BackendState, getBackendPace, prefersOwnZone, toBackendView,
+	type BackendState, getBackendPace, isLimitedToOwnZone, toBackendView,
 } from './backend-registry.js';
 
 /** Share of a service's connection limit that the known daemons use. The rest is left for daemons not known yet and for closing connections. */
@@ -19,17 +19,17 @@
 
 /** Estimates the work that other daemons send to a backend server before this daemon learns of it. */
 const estimateUnseenMs = (gateway: GatewayState, service: string, backendCount: number): number => {
-	const heardSince = gateway.clocks.steady() - peerSilentMs;
+	const heardSince = gateway.clocks.steady() - peerExpiryMs;
 	let tokensPerSecond = 0;
 	for (const peer of gateway.peers.values()) {
 		tokensPerSecond += peer.heardAt >= heardSince ? peer.work[service] ?? 0 : 0;
 	}
 
-	return computeUnseenMs({
+	return computeUnreportedMs({
 		tokensPerSecond,
-		gossipMs: needsRelays(countDaemons(gateway)) ? relayedGossipDelayMs : gossipDelayMs,
+		gossipDelayMs: needsRelays(countDaemons(gateway)) ? relayedGossipDelayMs : gossipDelayMs,
 		backends: backendCount,
-		tokensPerMs: (gateway.registry.paces.get(service) ?? firstPace).tokensPerMs,
+		tokensPerMs: (gateway.registry.paces.get(service) ?? defaultLatencyModel).tokensPerMs,
 	});
 };
 
@@ -51,17 +51,17 @@
 	const ready = gateway.registry.byService.get(call.service) ?? [];
 	const available = ready.filter(state => state.suspendedUntil <= now && !options.triedIncarnations.has(state.incarnation));
 	const {availabilityZone: ownZone} = gateway.settings.instance;
-	const sameZone = prefersOwnZone(gateway.registry, ownZone) ? available.filter(state => state.entry.availabilityZone === ownZone) : [];
+	const sameZone = isLimitedToOwnZone(gateway.registry, ownZone) ? available.filter(state => state.entry.availabilityZone === ownZone) : [];
 	// A service without available backend servers in this zone is served by the other zones.
 	const candidates = sameZone.length > 0 ? sameZone : available;
 	const maxOwnCalls = Math.max(2, Math.floor((service?.maxConnections ?? 64) * usedConnectionShare / countDaemons(gateway)));
-	const keyHash = getKeyHash(call);
-	const promptHome = findHome(keyHash, candidates);
+	const keyHash = getAffinityHash(call);
+	const promptHome = findPreferredBackend(keyHash, candidates);
 	const unseenMs = estimateUnseenMs(gateway, call.service, candidates.length);
 	const views = candidates.map(state => toBackendView(state, {
 		pace: getBackendPace(gateway.registry, state, now),
-		cachedTokens: countCachedTokens(call.promptParts, {has: partId => state.prefixes.has(partId), isHome: state === promptHome}),
-		detourMs: unseenMs * computeDetour(keyHash, state.incarnationHash),
+		cachedTokens: countCachedTokens(call.promptParts, {wasSent: partId => state.prefixes.has(partId), isPreferred: state === promptHome}),
+		detourMs: unseenMs * computeOrderPosition(keyHash, state.incarnationHash),
 		maxOwnCalls,
 		ownZone,
 		now,
@@ -70,9 +70,9 @@
 		rank: call.rank,
 		promptTokens: call.promptTokens,
 		isStream: isStream(call.repeatability),
-		isBoundToOne: call.repeatability === 'stream_once',
+		isPinned: call.repeatability === 'stream_once',
 	};
 	const choice = chooseBackend(views, placedCall, gateway.random);
 	const state = choice && gateway.registry.byId.get(choice.id);
-	return choice && state && {state, choice, cachedTokens: countCachedTokens(call.promptParts, {has: partId => state.prefixes.has(partId), isHome: state === promptHome})};
+	return choice && state && {state, choice, cachedTokens: countCachedTokens(call.promptParts, {wasSent: partId => state.prefixes.has(partId), isPreferred: state === promptHome})};
 };
--- a/packages/gateway/src/calls/retry-limits.ts
+++ b/packages/gateway/src/calls/retry-limits.ts
@@ -1,5 +1,5 @@
 /** This daemon's share of the retry limit, by service. */
-import {emptyAllowance, type RepeatAllowance, type RepeatLimit} from '@shallotpass/core/retries/repeat-allowance.js';
+import {makeRepeatAllowance, type RepeatAllowance, type RepeatLimit} from '@shallotpass/core/retries/repeat-allowance.js';
 import {countDaemons, type GatewayState} from '../gateway-state.js';
 
 export const getRetryLimit = (gateway: GatewayState): RepeatLimit => {
@@ -10,7 +10,7 @@
 };
 
 export const getRetryAllowance = (gateway: GatewayState, service: string): RepeatAllowance => {
-	const allowance = gateway.allowances.get(service) ?? emptyAllowance();
+	const allowance = gateway.allowances.get(service) ?? makeRepeatAllowance();
 	gateway.allowances.set(service, allowance);
 	return allowance;
 };
--- a/packages/gateway/src/calls/run-at-backend.ts
+++ b/packages/gateway/src/calls/run-at-backend.ts
@@ -4,14 +4,14 @@
 import net from 'node:net';
 import {type Call, isStream} from '@shallotpass/core/calls/types.js';
 import {
-	firstPace, learnFixed, noteReading, toReading,
-} from '@shallotpass/core/placement/engine-pace.js';
-import {learnFailure, learnRate} from '@shallotpass/core/placement/learn-rate.js';
-import {notePart} from '@shallotpass/core/placement/prefix-memory.js';
-import {noteWork} from '@shallotpass/core/engines/work-rate.js';
-import {noteCrash} from '@shallotpass/core/retries/crash-register.js';
-import {computePatience} from '@shallotpass/core/retries/patience.js';
-import {getWindow, noteStart} from '@shallotpass/core/usage/count-starts.js';
+	defaultLatencyModel, updateFixedLatency, recordPrefill, toPrefillSample,
+} from '@shallotpass/core/placement/engine-latency.js';
+import {updateFailureRate, updateMovingMean} from '@shallotpass/core/placement/moving-averages.js';
+import {recordPart} from '@shallotpass/core/placement/known-parts.js';
+import {recordWork} from '@shallotpass/core/engines/work-rate.js';
+import {recordCrash} from '@shallotpass/core/retries/crash-register.js';
+import {computeSilenceTimeout} from '@shallotpass/core/retries/silence-timeout.js';
+import {getWindowIndex, recordStart} from '@shallotpass/core/usage/count-starts.js';
 import {parseHostAndPort} from '../host-and-port.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type MovedMemory} from '../ports.js';
@@ -94,8 +94,8 @@
 	}
 
 	recordConnectFailure(gateway, state, 'ended_during_a_call');
-	gateway.crashes = noteCrash(gateway.crashes, digest, state.incarnation, gateway.clocks.steady());
-	gateway.log.write('state', 'call_suspected', {digest, backend: state.entry.id, ends: gateway.crashes.endedBy.get(digest)?.length});
+	gateway.crashes = recordCrash(gateway.crashes, digest, state.incarnation, gateway.clocks.steady());
+	gateway.log.write('state', 'call_suspected', {digest, backend: state.entry.id, ends: gateway.crashes.crashedIncarnations.get(digest)?.length});
 };
 
 /** Calls `onSilent` if no data is received from the backend server for too long. Returns a function that stops watching. */
@@ -129,7 +129,7 @@
  */
 const recordUsage = (gateway: GatewayState, call: Call, hasFirstToken: boolean): void => {
 	if (call.account !== undefined && (hasFirstToken || !isStream(call.repeatability))) {
-		noteStart(gateway.usage, call.account, getWindow(gateway.clocks.trueTime(), gateway.settings.bounds.usageWindowMs));
+		recordStart(gateway.usage, call.account, getWindowIndex(gateway.clocks.trueTime(), gateway.settings.bounds.usageWindowMs));
 	}
 };
 
@@ -139,17 +139,17 @@
 	const tookMs = gateway.clocks.steady() - attempt.sentAt;
 	if (isStream(call.repeatability)) {
 		const event = {workTokens: attempt.workTokens, tookMs};
-		const pace = gateway.registry.paces.get(call.service) ?? firstPace;
-		const reading = toReading(event, pace);
-		gateway.registry.paces.set(call.service, learnFixed(pace, event));
+		const pace = gateway.registry.paces.get(call.service) ?? defaultLatencyModel;
+		const reading = toPrefillSample(event, pace);
+		gateway.registry.paces.set(call.service, updateFixedLatency(pace, event));
 		if (reading !== undefined) {
-			state.reading = noteReading(state.reading, reading, gateway.clocks.steady());
+			state.reading = recordPrefill(state.reading, reading, gateway.clocks.steady());
 		}
 
 		return;
 	}
 
-	state.plainMs = learnRate(state.plainMs, Math.max(1, tookMs));
+	state.plainMs = updateMovingMean(state.plainMs, Math.max(1, tookMs));
 };
 
 /** Counts a call in the load of its backend server until it ends. */
@@ -184,7 +184,7 @@
 			state.unansweredSince.delete(callKey);
 			state.running--;
 			state.runningDigests.delete(digest);
-			state.failureShare = learnFailure(state.failureShare, isFailure);
+			state.failureShare = updateFailureRate(state.failureShare, isFailure);
 		},
 	};
 };
@@ -195,9 +195,9 @@
 	const now = gateway.clocks.steady();
 	const uncachedTokens = Math.max(0, call.promptTokens - placement.cachedTokens);
 	const workTokens = uncachedTokens + state.pendingTokens.reduce((sum, tokens) => sum + tokens, 0) + state.othersPendingTokens.reduce((sum, tokens) => sum + tokens, 0);
-	gateway.workRates.set(call.service, noteWork(gateway.workRates.get(call.service), uncachedTokens, now));
+	gateway.workRates.set(call.service, recordWork(gateway.workRates.get(call.service), uncachedTokens, now));
 	const rank = Math.min(trackedRankCount - 1, call.rank);
-	const fields = gateway.wire.toBackendFields(outgoing.callerFields, {
+	const fields = gateway.wire.makeBackendFields(outgoing.callerFields, {
 		backendId: state.entry.id,
 		account: call.account,
 		remainingMs: Math.max(1, Math.floor(call.deadline - now)),
@@ -222,11 +222,11 @@
 
 	signal.addEventListener('abort', abort, {once: true});
 	for (const part of call.promptParts) {
-		notePart(state.prefixes, part.id, now);
+		recordPart(state.prefixes, part.id, now);
 	}
 
 	let isSilent = false;
-	const stopWatching = watchForSilence(gateway, state, now, computePatience(call.repeatability, placement.choice.predictedMs), () => {
+	const stopWatching = watchForSilence(gateway, state, now, computeSilenceTimeout(call.repeatability, placement.choice.predictedMs), () => {
 		isSilent = true;
 		abort();
 	});
@@ -263,7 +263,7 @@
 	const {response, isComplete} = result;
 	state.failedConnects = 0;
 	state.lastReadAt = gateway.clocks.steady();
-	const head = gateway.wire.toBackendHead(response.statusCode ?? 0, response.headers);
+	const head = gateway.wire.parseBackendHeaders(response.statusCode ?? 0, response.headers);
 	const isRefusal = head.isNotExecuted || head.isOtherBackend;
 	if (head.requestId === undefined ? !isRefusal : head.requestId !== call.id) {
 		// This is a late second response to an earlier call. Forwarding it would give the caller another
--- a/packages/gateway/src/calls/serve-call.ts
+++ b/packages/gateway/src/calls/serve-call.ts
@@ -1,7 +1,7 @@
 /** Entry point of all calls: admission, serving, and metrics and logs of the result. */
 import type http from 'node:http';
 import {isStream} from '@shallotpass/core/calls/types.js';
-import {noteCall} from '@shallotpass/core/retries/repeat-allowance.js';
+import {recordCall} from '@shallotpass/core/retries/repeat-allowance.js';
 import {type GatewayState} from '../gateway-state.js';
 import {
 	admitCall, type AdmittedCall, type CallContext, RefusedCall,
@@ -50,7 +50,7 @@
 	const timer = setTimeout(() => {
 		controller.abort();
 	}, Math.max(0, call.deadline - gateway.clocks.steady()));
-	noteCall(getRetryAllowance(gateway, call.service), getRetryLimit(gateway), gateway.clocks.steady());
+	recordCall(getRetryAllowance(gateway, call.service), getRetryLimit(gateway), gateway.clocks.steady());
 	try {
 		const outcome = await (isStream(call.repeatability) ? serveStream(context, admitted, controller.signal) : servePlain(context, admitted, controller.signal));
 		if (isCallerGone) {
@@ -71,7 +71,7 @@
 /** Serves one request of a caller; never throws. */
 export const serveCall = async (gateway: GatewayState, request: http.IncomingMessage, response: http.ServerResponse): Promise<void> => {
 	const context: CallContext = {
-		gateway, request, response, head: gateway.wire.toCallerHead(request.headers), timing: {firstByteAt: undefined, lastEventAt: 0, longestPauseMs: 0},
+		gateway, request, response, head: gateway.wire.parseCallerHeaders(request.headers), timing: {firstByteAt: undefined, lastEventAt: 0, longestPauseMs: 0},
 	};
 	gateway.activeCalls++;
 	let admitted: AdmittedCall | undefined;
--- a/packages/gateway/src/calls/serve-plain.ts
+++ b/packages/gateway/src/calls/serve-plain.ts
@@ -1,5 +1,5 @@
 /** Serves plain calls, which have a single response, with retries on other backend servers. */
-import {mayRunAgain} from '@shallotpass/core/calls/types.js';
+import {isRepeatable} from '@shallotpass/core/calls/types.js';
 import {type AdmittedCall, type CallContext} from './admit-call.js';
 import {
 	type CallOutcome, type CallProgress, discardResponse, isDraining, isServerError, makeFailureOutcome, makeUnsentOutcome, recordFirstByte, sendToBestBackend, takeRetry,
@@ -24,7 +24,7 @@
 			const {response, attempt} = result;
 			progress.possibleRuns++;
 			progress.hasArrived = true;
-			if (isServerError(response) && mayRunAgain(call.repeatability) && takeRetry(gateway, call, progress)) {
+			if (isServerError(response) && isRepeatable(call.repeatability) && takeRetry(gateway, call, progress)) {
 				progress.lastFailure = `status ${response.statusCode ?? 0}`;
 				discardResponse(response, attempt);
 				continue;
--- a/packages/gateway/src/calls/serve-stream.ts
+++ b/packages/gateway/src/calls/serve-stream.ts
@@ -1,6 +1,6 @@
 /** Serves streams: forwards their events and, where possible, continues them on another backend server. */
-import {mayRunAgain} from '@shallotpass/core/calls/types.js';
-import {stalledStreamMs} from '@shallotpass/core/retries/patience.js';
+import {isRepeatable} from '@shallotpass/core/calls/types.js';
+import {streamStallTimeoutMs} from '@shallotpass/core/retries/silence-timeout.js';
 import {type AdmittedCall, type CallContext} from './admit-call.js';
 import {
 	type CallOutcome, type CallProgress, discardResponse, isDraining, isServerError, makeFailureOutcome, makeUnsentOutcome, recordEvents, recordFirstByte,
@@ -47,7 +47,7 @@
 const forwardErrorResponse = async (stream: StreamState, {response, attempt}: AnsweredAttempt): Promise<NextStep> => {
 	const {context: {gateway, response: target}, call, progress} = stream;
 	const status = response.statusCode ?? 0;
-	if (mayRunAgain(call.repeatability) && isServerError(response) && takeRetry(gateway, call, progress)) {
+	if (isRepeatable(call.repeatability) && isServerError(response) && takeRetry(gateway, call, progress)) {
 		progress.lastFailure = `status ${status}`;
 		discardResponse(response, attempt);
 		return {kind: 'try_again', isExempt: true};
@@ -88,7 +88,7 @@
 	});
 	const forwarded = await forwardEvents({
 		response, isComplete: attempt.isComplete, target, splitter,
-		stallTimeoutMs: call.repeatability === 'resumable_stream' ? stalledStreamMs : undefined,
+		stallTimeoutMs: call.repeatability === 'resumable_stream' ? streamStallTimeoutMs : undefined,
 		onEvents() {
 			attempt.state.lastReadAt = gateway.clocks.steady();
 			recordEvents(stream.context);
--- a/packages/gateway/src/calls/take-quota.ts
+++ b/packages/gateway/src/calls/take-quota.ts
@@ -3,16 +3,16 @@
 import {computeUsable, type LimitedCall} from '@shallotpass/core/quotas/compute-ceiling.js';
 import {needsRelays} from '@shallotpass/core/gossip/pick-relays.js';
 import {
-	noteDemand, openBucket, readDemand, takeFromBucket,
+	recordDemand, makeBucket, computeDemand, takeFromBucket,
 } from '@shallotpass/core/quotas/account-bucket.js';
 import {
-	computeAllotment, computeRoom, estimateWait, hasRoom, type SpendingView,
-} from '@shallotpass/core/quotas/account-room.js';
+	computeBucketRefill, computeRemainingBudget, estimateWait, hasBudget, type SpendingView,
+} from '@shallotpass/core/quotas/account-budget.js';
 import {
-	ageSlots, noteSpent, openSpending, readSpent, readSpentSlots, sumSlots,
+	ageSlots, recordSpent, makeSpending, computeSpent, computeSpentSlots, sumSlots,
 } from '@shallotpass/core/quotas/spending.js';
-import {countDaemons, type GatewayState, peerSilentMs} from '../gateway-state.js';
-import {type CallerHead} from '../ports.js';
+import {countDaemons, type GatewayState, peerExpiryMs} from '../gateway-state.js';
+import {type CallerHeaders} from '../ports.js';
 
 /** Milliseconds until the other daemons know what this daemon spends: one and a third gossip rounds, or two to three rounds through relays. */
 const gossipDelayMs = 400;
@@ -21,7 +21,7 @@
 /** Lower bound of Retry-After, in seconds. */
 const minRetryAfterS = 0.2;
 
-const computeCallCost = (limit: AccountLimit, head: CallerHead): number => {
+const computeCallCost = (limit: AccountLimit, head: CallerHeaders): number => {
 	if (!limit.countsTokens) {
 		return 1;
 	}
@@ -30,7 +30,7 @@
 };
 
 const getSpending = (gateway: GatewayState, account: string) => {
-	const spending = gateway.spending.get(account) ?? openSpending(gateway.settings.bounds.quotaWindowMs);
+	const spending = gateway.spending.get(account) ?? makeSpending(gateway.settings.bounds.quotaWindowMs);
 	gateway.spending.set(account, spending);
 	return spending;
 };
@@ -50,19 +50,19 @@
 	const now = gateway.clocks.steady();
 	const {bounds} = gateway.settings;
 	const peers = [...gateway.peers.values()];
-	const activePeers = peers.filter(peer => peer.heardAt >= now - peerSilentMs);
+	const activePeers = peers.filter(peer => peer.heardAt >= now - peerExpiryMs);
 	const daemons = countDaemons(gateway);
 	const bucket = gateway.buckets.get(name);
 	return {
 		usable: computeUsable(limit, bounds, call),
 		windowMs: bounds.quotaWindowMs,
-		spent: [readSpentSlots(getSpending(gateway, name), now), getInheritedSpending(gateway, name), ...activePeers.map(peer => peer.spent[name])]
+		spent: [computeSpentSlots(getSpending(gateway, name), now), getInheritedSpending(gateway, name), ...activePeers.map(peer => peer.spent[name])]
 			.reduce((sum, slots) => sum + sumSlots(slots), 0),
-		ownDemand: bucket === undefined ? 0 : readDemand(bucket, now),
+		ownDemand: bucket === undefined ? 0 : computeDemand(bucket, now),
 		otherDemands: activePeers.map(peer => peer.demands[name] ?? 0),
-		heardDaemons: daemons,
+		reportingDaemons: daemons,
 		silentDaemons: peers.reduce((sum, peer) => sum + peer.daemons + peer.silentDaemons, 1) - daemons,
-		gossipMs: needsRelays(daemons) ? relayedGossipDelayMs : gossipDelayMs,
+		gossipDelayMs: needsRelays(daemons) ? relayedGossipDelayMs : gossipDelayMs,
 	};
 };
 
@@ -71,7 +71,7 @@
 };
 
 export type QuotaCall = {
-	readonly head: CallerHead;
+	readonly head: CallerHeaders;
 	readonly rank: number;
 };
 
@@ -84,22 +84,22 @@
 
 	const now = gateway.clocks.steady();
 	const cost = computeCallCost(limit, head);
-	gateway.buckets.set(name, noteDemand(gateway.buckets.get(name) ?? openBucket(now), cost, now));
+	gateway.buckets.set(name, recordDemand(gateway.buckets.get(name) ?? makeBucket(now), cost, now));
 	const view = makeSpendingView(gateway, {name, limit, call: {cost, rank}});
-	const allotment = computeAllotment(view);
+	const allotment = computeBucketRefill(view);
 	const decision = takeFromBucket(gateway.buckets.get(name)!, {
-		cost, now, isOpen: hasRoom(view, cost), allotment, random: gateway.random,
+		cost, now, isUnrestricted: hasBudget(view, cost), refill: allotment, random: gateway.random,
 	});
 	gateway.buckets.set(name, decision.bucket);
 	if (decision.isAdmitted) {
-		noteSpent(getSpending(gateway, name), cost, now);
+		recordSpent(getSpending(gateway, name), cost, now);
 		return undefined;
 	}
 
 	gateway.log.write('failure', 'limit_reached', {
-		request: head.id, account: name, cost, room: Math.round(computeRoom(view)), level: Math.round(decision.bucket.level),
-		own: Math.round(readSpent(getSpending(gateway, name), now)), inherited: Math.round(sumSlots(getInheritedSpending(gateway, name))), spent: Math.round(view.spent),
-		usable: Math.round(view.usable), daemons: view.heardDaemons,
+		request: head.id, account: name, cost, room: Math.round(computeRemainingBudget(view)), level: Math.round(decision.bucket.level),
+		own: Math.round(computeSpent(getSpending(gateway, name), now)), inherited: Math.round(sumSlots(getInheritedSpending(gateway, name))), spent: Math.round(view.spent),
+		usable: Math.round(view.usable), daemons: view.reportingDaemons,
 	});
 	// Callers that retry at the same time would compete for the same remaining quota.
 	const jitter = 0.75 + (gateway.random() / 2);
--- a/packages/gateway/src/gateway-state.ts
+++ b/packages/gateway/src/gateway-state.ts
@@ -40,7 +40,7 @@
 	/** Written by the directory follower, calls and gossip. */
 	readonly registry: BackendRegistry;
 	/** When the directory was first read, on the steady clock. Written by the directory follower. */
-	directorySince: number | undefined;
+	directoryReadAt: number | undefined;
 	/** Quota buckets by account. Written by calls. */
 	readonly buckets: Map<string, AccountBucket>;
 	/** Spending within the quota window, by account. Written by calls. */
@@ -48,7 +48,7 @@
 	/** Spending of accounts in each part of the quota window before this daemon started, as of the true time `at`. Written by the leader task. */
 	inherited: {readonly spent: Readonly<Record<string, readonly number[]>>; readonly at: number} | undefined;
 	/** Whether the earlier spending of accounts has been loaded, or cannot be loaded. Written by the leader task. */
-	hasSpending: boolean;
+	isSpendingLoaded: boolean;
 	/** Start of this process, on the steady clock. */
 	readonly startedAt: number;
 	/** Retry allowances by service. Written by calls. */
@@ -68,11 +68,11 @@
 };
 
 /** Peers whose last report is older than this are not counted. Reports arrive three times a second. */
-export const peerSilentMs = 2500;
+export const peerExpiryMs = 2500;
 
 /** Counts this daemon and all daemons covered by recent reports. */
 export const countDaemons = (state: GatewayState): number => {
-	const since = state.clocks.steady() - peerSilentMs;
+	const since = state.clocks.steady() - peerExpiryMs;
 	let daemons = 1;
 	for (const peer of state.peers.values()) {
 		if (peer.heardAt >= since) {
--- a/packages/gateway/src/leader/gather-duties.ts
+++ b/packages/gateway/src/leader/collect-usage.ts
@@ -1,8 +1,8 @@
 /** Collects the usage and spending of all daemons for the lease record, from the reports of the peers. */
-import {type Lease} from '@shallotpass/core/duties/fold-lease.js';
-import {readDemand} from '@shallotpass/core/quotas/account-bucket.js';
-import {computeMostUsable} from '@shallotpass/core/quotas/compute-ceiling.js';
-import {predictSlots, readSpentSlots} from '@shallotpass/core/quotas/spending.js';
+import {type Lease} from '@shallotpass/core/duties/lease.js';
+import {computeDemand} from '@shallotpass/core/quotas/account-bucket.js';
+import {computeMaxUsable} from '@shallotpass/core/quotas/compute-ceiling.js';
+import {predictSlots, computeSpentSlots} from '@shallotpass/core/quotas/spending.js';
 import {mergeUsage, type UsageTable} from '@shallotpass/core/usage/count-starts.js';
 import {type GatewayState} from '../gateway-state.js';
 
@@ -29,7 +29,7 @@
 export const projectSpending = (gateway: GatewayState): Lease['spent'] => {
 	const now = gateway.clocks.steady();
 	const accounts: Record<string, number[]> = {};
-	const own = Object.fromEntries([...gateway.spending].map(([account, spending]) => [account, readSpentSlots(spending, now).map(cost => Math.round(cost))]));
+	const own = Object.fromEntries([...gateway.spending].map(([account, spending]) => [account, computeSpentSlots(spending, now).map(cost => Math.round(cost))]));
 	for (const spent of [own, ...[...gateway.peers.values()].map(peer => peer.spent)]) {
 		for (const [account, slots] of Object.entries(spent)) {
 			accounts[account] = slots.map((cost, index) => cost + (accounts[account]?.[index] ?? 0));
@@ -38,7 +38,7 @@
 
 	const demands = new Map<string, number>();
 	const accountDemands = [
-		...[...gateway.buckets].map(([account, bucket]) => [account, readDemand(bucket, now)] as const),
+		...[...gateway.buckets].map(([account, bucket]) => [account, computeDemand(bucket, now)] as const),
 		...[...gateway.peers.values()].flatMap(peer => Object.entries(peer.demands)),
 	];
 	for (const [account, demand] of accountDemands) {
@@ -50,7 +50,7 @@
 		const slots = accounts[name];
 		if (limit !== undefined && slots !== undefined) {
 			accounts[name] = predictSlots({
-				slots, demand: demands.get(name) ?? 0, usable: computeMostUsable(limit, bounds), aheadMs: recordDelayMs, windowMs: bounds.quotaWindowMs,
+				slots, demand: demands.get(name) ?? 0, usable: computeMaxUsable(limit, bounds), aheadMs: recordDelayMs, windowMs: bounds.quotaWindowMs,
 			}).map(cost => Math.round(cost));
 		}
 	}
--- a/packages/gateway/src/leader/deliver-duties.ts
+++ b/packages/gateway/src/leader/deliver-duties.ts
@@ -1,5 +1,5 @@
 /** Performs the leader's duties: sends the usage reports and backend server orders in the lease record to the cloud API. */
-import {type BackendOrder, getFence, withReport} from '@shallotpass/core/duties/fold-lease.js';
+import {type BackendOrder, getFencingToken, addReport} from '@shallotpass/core/duties/lease.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type EventFields} from '../telemetry/log-events.js';
 import {type CloudReply, type DutyAuthority, type Platform} from '../ports.js';
@@ -56,7 +56,7 @@
 	/** Returns undefined when the lease is not held or may have expired. */
 	const getAuthority = (): DutyAuthority | undefined => {
 		const held = record.getHeld();
-		return held !== undefined && record.canAct() ? {holder: gateway.settings.instance.id, fence: getFence(held.stored)} : undefined;
+		return held !== undefined && record.canAct() ? {holder: gateway.settings.instance.id, fence: getFencingToken(held.stored)} : undefined;
 	};
 
 	const deliverReports = async (): Promise<void> => {
@@ -71,7 +71,7 @@
 			recordCloudReply('usage_report', reply, {window: report.window, counts: report.counts, fence: authority.fence});
 			const held = record.getHeld();
 			if (reply.kind === 'done' && held) {
-				record.setHeldLease(withReport(held.stored.lease, {...report, isDelivered: true}));
+				record.setHeldLease(addReport(held.stored.lease, {...report, isDelivered: true}));
 			}
 		}
 	};
--- a/packages/gateway/src/leader/leader-task.ts
+++ b/packages/gateway/src/leader/leader-task.ts
@@ -4,17 +4,17 @@
  * is sent to the cloud API, so that a successor sends the same values.
  */
 import {
-	type BackendOrder, getFence, isLeaseFree, type Lease, type LeaseSeeker, type LeaseWatch, listDueWindows, mayTakeLease, nobody, watchLease, withReport,
-} from '@shallotpass/core/duties/fold-lease.js';
-import {getSeekDelay, type StoreRole} from '@shallotpass/core/gossip/store-role.js';
+	type BackendOrder, getFencingToken, isLeaseFree, type Lease, type LeaseCandidate, type LeaseObservation, listDueWindows, canTakeLease, releasedIncarnation, observeLease, addReport,
+} from '@shallotpass/core/duties/lease.js';
+import {getLeaseLookupDelayMs, type StoreRole} from '@shallotpass/core/gossip/store-role.js';
 import {
-	dropEarlierWindows, getWindow, mergeUsage, sumWindow,
+	dropEarlierWindows, getWindowIndex, mergeUsage, sumWindow,
 } from '@shallotpass/core/usage/count-starts.js';
 import {pauseFor} from '../pause.js';
 import {
 	type DutyDelivery, type DutyDeliveryOptions, makeDutyDelivery, toOrderKey,
 } from './deliver-duties.js';
-import {collectUsage, projectSpending} from './gather-duties.js';
+import {collectUsage, projectSpending} from './collect-usage.js';
 import {type HeldLease, type LeaseRecord, makeLeaseRecord} from './lease-record.js';
 
 const tickMs = 250;
@@ -60,9 +60,9 @@
 	const {gateway, platform, signal} = options;
 	const {steady, countDisagreements} = gateway.clocks;
 	const {instance, listen} = gateway.settings;
-	const candidate: LeaseSeeker = {holder: instance.id, holderAddress: listen.peers, incarnation: gateway.incarnation};
+	const candidate: LeaseCandidate = {holder: instance.id, holderAddress: listen.peers, incarnation: gateway.incarnation};
 	/** The newest lease record that was read from the store or reported by a peer. */
-	let watch: LeaseWatch | undefined;
+	let watch: LeaseObservation | undefined;
 	/** When a peer last reported holding the lease, and when the lease record was last read because no peer did. */
 	let holderHeardAt = gateway.startedAt;
 	let leaseReadAt = Number.NEGATIVE_INFINITY;
@@ -77,7 +77,7 @@
 	const writeLease = async (lease: Lease): Promise<boolean> => {
 		const result = await record.write(lease);
 		if (result.kind === 'taken') {
-			watch = result.offset === undefined ? undefined : watchLease(watch, {offset: result.offset, disagreements: countDisagreements()}, steady());
+			watch = result.offset === undefined ? undefined : observeLease(watch, {offset: result.offset, clockDisagreements: countDisagreements()}, steady());
 		}
 
 		return result.kind === 'stands';
@@ -85,12 +85,12 @@
 
 	const planLease = (lease: Lease): Lease => {
 		const now = gateway.clocks.trueTime();
-		const current = getWindow(now - reportDelayMs, gateway.settings.bounds.usageWindowMs);
-		const oldest = getWindow(now - gateway.settings.bounds.usageLateMs - gateway.settings.bounds.usageWindowMs, gateway.settings.bounds.usageWindowMs);
+		const current = getWindowIndex(now - reportDelayMs, gateway.settings.bounds.usageWindowMs);
+		const oldest = getWindowIndex(now - gateway.settings.bounds.usageLateMs - gateway.settings.bounds.usageWindowMs, gateway.settings.bounds.usageWindowMs);
 		const counted = mergeUsage(lease.counted, collectUsage(gateway));
 		let next = lease;
 		for (const window of listDueWindows(lease, current, oldest)) {
-			next = withReport(next, {window, counts: sumWindow(counted[String(window)] ?? {}), isDelivered: false});
+			next = addReport(next, {window, counts: sumWindow(counted[String(window)] ?? {}), isDelivered: false});
 		}
 
 		const orders = [...options.planOrders()];
@@ -101,7 +101,7 @@
 		// A successor can take the lease without waiting for it to expire.
 		const {lease} = held.stored;
 		await writeLease({
-			...lease, incarnation: nobody, counted: mergeUsage(lease.counted, collectUsage(gateway)), spent: projectSpending(gateway),
+			...lease, incarnation: releasedIncarnation, counted: mergeUsage(lease.counted, collectUsage(gateway)), spent: projectSpending(gateway),
 		});
 		record.markLost('the daemon is draining');
 	};
@@ -116,7 +116,7 @@
 		return writeLease({
 			...planned,
 			...candidate,
-			fence: getFence(held.stored),
+			fence: getFencingToken(held.stored),
 			counted: dropEarlierWindows(mergeUsage(planned.counted, collectUsage(gateway)), lastReportedWindow + 1),
 			spent: projectSpending(gateway),
 		});
@@ -147,13 +147,13 @@
 		const offset = Math.max(-1, ...offsets);
 		if (offset >= 0) {
 			holderHeardAt = steady();
-			watch = watchLease(watch, {offset, disagreements: countDisagreements()}, steady());
+			watch = observeLease(watch, {offset, clockDisagreements: countDisagreements()}, steady());
 		}
 
 		return offset >= 0;
 	};
 
-	const isLeaseExpired = (): boolean => watch !== undefined && mayTakeLease(watch, gateway.settings.bounds.leaseMs, steady());
+	const isLeaseExpired = (): boolean => watch !== undefined && canTakeLease(watch, gateway.settings.bounds.leaseMs, steady());
 
 	/** Whether to read the lease record: no peer reports holding the lease, and the record was not read since the last such report or has expired. */
 	const shouldReadLease = (): boolean => {
@@ -161,7 +161,7 @@
 			return false;
 		}
 
-		const isDue = steady() >= holderHeardAt + getSeekDelay(options.getStoreRole());
+		const isDue = steady() >= holderHeardAt + getLeaseLookupDelayMs(options.getStoreRole());
 		return isDue && (leaseReadAt < holderHeardAt || isLeaseExpired());
 	};
 
@@ -178,7 +178,7 @@
 		leaseReadAt = steady();
 		const stored = readResult.kind === 'stands' ? readResult.stored : undefined;
 		if (stored !== undefined) {
-			watch = watchLease(watch, {offset: stored.offset, disagreements: countDisagreements()}, steady());
+			watch = observeLease(watch, {offset: stored.offset, clockDisagreements: countDisagreements()}, steady());
 		}
 
 		const isFree = stored === undefined || isLeaseFree(stored.lease, candidate);
@@ -191,7 +191,7 @@
 		});
 		const held = record.getHeld();
 		if (isWritten && held) {
-			gateway.log.write('state', 'lease_taken', {fence: getFence(held.stored), before: stored?.lease.holder});
+			gateway.log.write('state', 'lease_taken', {fence: getFencingToken(held.stored), before: stored?.lease.holder});
 		}
 	};
 
@@ -230,16 +230,16 @@
 	const loadSpending = async (): Promise<void> => {
 		if (gateway.settings.instance.firstStart) {
 			await waitForFirstHolder();
-			gateway.hasSpending = isHolderKnown();
+			gateway.isSpendingLoaded = isHolderKnown();
 		}
 
 		const giveUpAt = steady() + spendingTimeoutMs;
-		while (!gateway.hasSpending && !signal.aborted) {
+		while (!gateway.isSpendingLoaded && !signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop -- reads are sequential
 			const readResult = await record.read();
 			const isKnown = readResult.kind !== 'unknown' || isHolderHeard();
-			gateway.hasSpending = isKnown || steady() >= giveUpAt;
-			if (gateway.hasSpending) {
+			gateway.isSpendingLoaded = isKnown || steady() >= giveUpAt;
+			if (gateway.isSpendingLoaded) {
 				gateway.log.write('state', 'spending_read', {isKnown, inherited: gateway.inherited});
 				return;
 			}
--- a/packages/gateway/src/leader/lease-record.ts
+++ b/packages/gateway/src/leader/lease-record.ts
@@ -4,8 +4,8 @@
  */
 import {Buffer} from 'node:buffer';
 import {
-	getFence, type Lease, leaseSchema, mayActOnLease, type StoredLease,
-} from '@shallotpass/core/duties/fold-lease.js';
+	getFencingToken, type Lease, leaseSchema, canActOnLease, type StoredLease,
+} from '@shallotpass/core/duties/lease.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type Platform} from '../ports.js';
 
@@ -93,7 +93,7 @@
 
 	const markLost = (reason: string): void => {
 		if (held) {
-			gateway.log.write('state', 'lease_lost', {reason, fence: getFence(held.stored), offset: held.stored.offset});
+			gateway.log.write('state', 'lease_lost', {reason, fence: getFencingToken(held.stored), offset: held.stored.offset});
 		}
 
 		held = undefined;
@@ -136,7 +136,7 @@
 
 	return {
 		getHeld: () => held,
-		canAct: () => held?.disagreements === countDisagreements() && mayActOnLease(held.renewedAt, gateway.settings.bounds.leaseMs, steady()),
+		canAct: () => held?.disagreements === countDisagreements() && canActOnLease(held.renewedAt, gateway.settings.bounds.leaseMs, steady()),
 		read,
 		write,
 		setHeldLease(lease) {
--- a/packages/gateway/src/leader/order-plan.ts
+++ b/packages/gateway/src/leader/order-planner.ts
@@ -1,13 +1,13 @@
 /** Computes the backend server orders from the directory and the load. */
-import {type BackendOrder} from '@shallotpass/core/duties/fold-lease.js';
+import {type BackendOrder} from '@shallotpass/core/duties/lease.js';
 import {
-	learnNeed, type Need, roundNeed,
-} from '@shallotpass/core/engines/need-engines.js';
-import {planEngines, type PlanInput, type ZoneFleet} from '@shallotpass/core/engines/plan-engines.js';
-import {firstPace} from '@shallotpass/core/placement/engine-pace.js';
-import {readWorkRate} from '@shallotpass/core/engines/work-rate.js';
+	updateDemandEstimate, type DemandEstimate, roundWithHysteresis,
+} from '@shallotpass/core/engines/estimate-demand.js';
+import {planBackends, type PlanInput, type ZoneFleet} from '@shallotpass/core/engines/plan-backends.js';
+import {defaultLatencyModel} from '@shallotpass/core/placement/engine-latency.js';
+import {computeWorkRate} from '@shallotpass/core/engines/work-rate.js';
 import {getBackendPace} from '../calls/backend-registry.js';
-import {type GatewayState, peerSilentMs} from '../gateway-state.js';
+import {type GatewayState, peerExpiryMs} from '../gateway-state.js';
 
 /** Delay before reclaimable backend servers of a zone are ordered again after a refusal. The cloud refuses for 12 to 15 s after a wave of reclaims. */
 const refusalBackoffMs = 3500;
@@ -36,12 +36,12 @@
 	const refusedUntil = new Map<string, number>();
 	/** `service/zone` → the last accepted order of reclaimable ones. */
 	const acceptedOrders = new Map<string, AcceptedOrder>();
-	const needsByService = new Map<string, Need>();
+	const needsByService = new Map<string, DemandEstimate>();
 	const plannedCounts = new Map<string, number>();
 	const now = (): number => gateway.clocks.steady();
 
 	/** Backend servers that started together register one after the other. An order based on the first few entries would stop the others. */
-	const isDirectoryComplete = (): boolean => gateway.directorySince !== undefined && now() >= gateway.directorySince + directorySettleMs;
+	const isDirectoryComplete = (): boolean => gateway.directoryReadAt !== undefined && now() >= gateway.directoryReadAt + directorySettleMs;
 
 	const countReady = (service: string, zone: string, isReclaimable: boolean): number => (gateway.registry.byService.get(service) ?? [])
 		.filter(({entry}) => entry.availabilityZone === zone && entry.isReclaimable === isReclaimable).length;
@@ -55,7 +55,7 @@
 		const reclaimable = countReady(service, availabilityZone, true);
 		return {
 			availabilityZone,
-			full: countReady(service, availabilityZone, false),
+			onDemand: countReady(service, availabilityZone, false),
 			reclaimable,
 			starting: countStarting(service, availabilityZone, reclaimable),
 			refusedUntil: refusedUntil.get(`${service}/${availabilityZone}`) ?? 0,
@@ -66,19 +66,19 @@
 	const computeMeanSpeed = (service: string): number => {
 		const ready = gateway.registry.byService.get(service) ?? [];
 		const total = ready.reduce((sum, state) => sum + getBackendPace(gateway.registry, state, now()).tokensPerMs, 0);
-		return ready.length === 0 ? (gateway.registry.paces.get(service) ?? firstPace).tokensPerMs : total / ready.length;
+		return ready.length === 0 ? (gateway.registry.paces.get(service) ?? defaultLatencyModel).tokensPerMs : total / ready.length;
 	};
 
 	const countRunning = (service: string): number => (gateway.registry.byService.get(service) ?? [])
 		.reduce((sum, state) => sum + state.running + state.othersRunning, 0);
 
 	const computeNeed = (service: string): Pick<PlanInput, 'needed' | 'assumed'> => {
-		const since = now() - peerSilentMs;
+		const since = now() - peerExpiryMs;
 		const own = gateway.workRates.get(service);
 		const peerRates = [...gateway.peers.values()].filter(peer => peer.heardAt >= since).map(peer => peer.work[service] ?? 0);
-		const promptTokensPerSecond = peerRates.reduce((total, rate) => total + rate, own === undefined ? 0 : readWorkRate(own, now()));
+		const promptTokensPerSecond = peerRates.reduce((total, rate) => total + rate, own === undefined ? 0 : computeWorkRate(own, now()));
 		const serviceConfiguration = gateway.configuration?.servicesByName.get(service);
-		const need = learnNeed(needsByService.get(service), {
+		const need = updateDemandEstimate(needsByService.get(service), {
 			promptTokensPerSecond,
 			running: countRunning(service),
 			present: gateway.registry.byService.get(service)?.length ?? 0,
@@ -87,7 +87,7 @@
 			bootMs: serviceConfiguration?.fleet?.bootMs ?? 0,
 		}, now());
 		needsByService.set(service, need);
-		const needed = roundNeed(need.engines, plannedCounts.get(service) ?? 0);
+		const needed = roundWithHysteresis(need.backends, plannedCounts.get(service) ?? 0);
 		plannedCounts.set(service, needed);
 		return {needed, assumed: Math.ceil(need.assumed)};
 	};
@@ -101,7 +101,7 @@
 			const services = gateway.configuration?.configuration.services ?? [];
 			return services.flatMap(({name, fleet}) => fleet === undefined
 				? []
-				: planEngines({
+				: planBackends({
 					service: name, bounds: fleet, zones: listZones(name), ...computeNeed(name), now: now(),
 				}));
 		},
