--- a/packages/gateway/src/peers/gossip.ts
+++ b/packages/gateway/src/peers/gossip.ts
@@ -8,20 +8,20 @@
 import dgram from 'node:dgram';
 import {createJSONRPCNotification} from 'json-rpc-2.0';
 import {
-	isSum, isTotal, isZoneSum, type GossipReport, gossipReportSchema, type StoreKnowledge, sumReports, totalReports, withoutOwn,
+	isSum, isTotal, isZoneSum, type GossipReport, gossipReportSchema, type StoreVersions, sumReports, sumZones, subtractReport,
 } from '@shallotpass/core/gossip/gossip-report.js';
-import {limitLoads} from '@shallotpass/core/gossip/limit-loads.js';
-import {type Member, needsRelays, pickRelays} from '@shallotpass/core/gossip/pick-relays.js';
+import {filterLoads} from '@shallotpass/core/gossip/filter-loads.js';
+import {type GossipMember, needsRelays, pickRelays} from '@shallotpass/core/gossip/pick-relays.js';
 import {computeStoreRole, type StoreRole} from '@shallotpass/core/gossip/store-role.js';
-import {noteCrash} from '@shallotpass/core/retries/crash-register.js';
+import {recordCrash} from '@shallotpass/core/retries/crash-register.js';
 import * as z from 'zod';
-import {prefersOwnZone} from '../calls/backend-registry.js';
-import {type GatewayState, type PeerReport, peerSilentMs} from '../gateway-state.js';
+import {isLimitedToOwnZone} from '../calls/backend-registry.js';
+import {type GatewayState, type PeerReport, peerExpiryMs} from '../gateway-state.js';
 import {parseHostAndPort} from '../host-and-port.js';
 import {type Platform} from '../ports.js';
 import {joinMembers, type MemberList} from './join-members.js';
 import {makeReport, type ReportInput} from './make-report.js';
-import {makeRelayMonitor} from './relay-watch.js';
+import {makeRelayMonitor} from './relay-monitor.js';
 import {sumOtherLoads} from './sum-other-loads.js';
 
 /** Interval between rounds. Older load figures would mislead the placement of calls that take 200 ms. */
@@ -47,7 +47,7 @@
 	readonly platform: Platform;
 	readonly getReportInput: (members: MemberList) => ReportInput;
 	/** Called with the store state that a peer reports, and the peer's address. */
-	readonly onStoreKnowledge: (known: StoreKnowledge, address: string) => void;
+	readonly onStoreKnowledge: (known: StoreVersions, address: string) => void;
 	readonly signal: AbortSignal;
 };
 
@@ -63,11 +63,11 @@
 	const {host, port} = parseHostAndPort(gateway.settings.listen.peers);
 	const {id: selfId, availabilityZone: ownZone, linkMbps} = gateway.settings.instance;
 	const socket = dgram.createSocket('udp4');
-	const self: Member = {
+	const self: GossipMember = {
 		id: selfId, address: gateway.settings.listen.peers, availabilityZone: ownZone, linkMbps,
 	};
 	/** Members by address. */
-	const members = new Map<string, Member>([[self.address, self]]);
+	const members = new Map<string, GossipMember>([[self.address, self]]);
 	/** Seeds and members from which no report has arrived yet, by address, with the time when they were added. */
 	const unconfirmed = new Map<string, number>();
 	/** Reports from daemons that use this one as their relay, by incarnation. */
@@ -83,7 +83,7 @@
 	const relayMonitor = makeRelayMonitor(gateway, self.address);
 	const now = (): number => gateway.clocks.steady();
 
-	const addMember = (member: Member): void => {
+	const addMember = (member: GossipMember): void => {
 		if (member.address === self.address) {
 			return;
 		}
@@ -126,7 +126,7 @@
 		}
 
 		if (isTotal(report) && report.availabilityZone === ownZone && !isActiveRelay) {
-			recordPeer(toPeerReport(withoutOwn(report, ownReport)));
+			recordPeer(toPeerReport(subtractReport(report, ownReport)));
 		}
 	};
 
@@ -171,7 +171,7 @@
 		});
 		for (const [digest, incarnations] of Object.entries(report.crashes)) {
 			for (const incarnation of incarnations) {
-				gateway.crashes = noteCrash(gateway.crashes, digest, incarnation, now());
+				gateway.crashes = recordCrash(gateway.crashes, digest, incarnation, now());
 			}
 		}
 
@@ -267,13 +267,13 @@
 
 	/** Aggregates the reports of this daemon's zone, and sends the sum to the relays of other zones and the total of all zones to the daemons of its own zone. */
 	const relayReports = (): void => {
-		const since = now() - peerSilentMs;
+		const since = now() - peerExpiryMs;
 		const isFresh = ({heardAt}: {readonly heardAt: number}): boolean => heardAt >= since;
 		const others = [...zoneReports.values()];
 		const sum = sumReports(ownReport, others.filter(entry => isFresh(entry)).map(({report}) => report), others.filter(entry => !isFresh(entry)).map(({report}) => report));
-		recordPeer(toPeerReport(withoutOwn(sum, ownReport)));
-		const isZoneIsolated = prefersOwnZone(gateway.registry, ownZone);
-		const sumForOtherZones = isZoneIsolated ? limitLoads(sum, () => false) : sum;
+		recordPeer(toPeerReport(subtractReport(sum, ownReport)));
+		const isOwnZoneOnly = isLimitedToOwnZone(gateway.registry, ownZone);
+		const sumForOtherZones = isOwnZoneOnly ? filterLoads(sum, () => false) : sum;
 		const zones = gateway.settings.instance.zones.filter(zone => zone !== ownZone);
 		for (const zone of zones) {
 			for (const {address} of pickRelays(members.values(), zone, relayMonitor.isSkipped)) {
@@ -282,9 +282,9 @@
 		}
 
 		const otherZoneSums = [...zoneSums.values()];
-		const total = totalReports(sum, otherZoneSums.filter(entry => isFresh(entry)), otherZoneSums.filter(entry => !isFresh(entry)));
+		const total = sumZones(sum, otherZoneSums.filter(entry => isFresh(entry)), otherZoneSums.filter(entry => !isFresh(entry)));
 		const isInZone = (id: string): boolean => gateway.registry.byId.get(id)?.entry.availabilityZone === ownZone;
-		const totalForZone = isZoneIsolated ? limitLoads(total, isInZone) : total;
+		const totalForZone = isOwnZoneOnly ? filterLoads(total, isInZone) : total;
 		for (const {report, heardAt} of others) {
 			if (heardAt >= since) {
 				sendReport(report.address, totalForZone);
@@ -318,7 +318,7 @@
 			sendToAllPeers();
 		}
 
-		const fresh = [...gateway.peers.values()].filter(peer => peer.heardAt >= now() - peerSilentMs);
+		const fresh = [...gateway.peers.values()].filter(peer => peer.heardAt >= now() - peerExpiryMs);
 		gateway.clocks.applyPeerOffsets(fresh.map(peer => peer.clockOffset));
 		gateway.metrics.peers.set(fresh.reduce((sum, peer) => sum + peer.daemons, 0));
 		sumOtherLoads(gateway);
--- a/packages/gateway/src/peers/join-members.ts
+++ b/packages/gateway/src/peers/join-members.ts
@@ -1,6 +1,6 @@
 /** Discovers other daemons: each daemon registers itself in the platform's store and reads the other members. */
 import {Buffer} from 'node:buffer';
-import {type Member} from '@shallotpass/core/gossip/pick-relays.js';
+import {type GossipMember} from '@shallotpass/core/gossip/pick-relays.js';
 import {type StoreRole} from '@shallotpass/core/gossip/store-role.js';
 import * as z from 'zod';
 import {type GatewayState} from '../gateway-state.js';
@@ -22,7 +22,7 @@
 	id: z.string(), address: z.string(), availabilityZone: z.string(), linkMbps: z.number(),
 });
 
-const parseMember = (value: Uint8Array): Member | undefined => {
+const parseMember = (value: Uint8Array): GossipMember | undefined => {
 	try {
 		return memberSchema.safeParse(JSON.parse(Buffer.from(value).toString('utf8'))).data;
 	} catch {
@@ -33,14 +33,14 @@
 
 /** The members known to this daemon. */
 export type MemberList = {
-	readonly list: () => readonly Member[];
-	readonly add: (member: Member) => void;
+	readonly list: () => readonly GossipMember[];
+	readonly add: (member: GossipMember) => void;
 };
 
 export type JoinOptions = {
 	readonly gateway: GatewayState;
 	readonly platform: Platform;
-	readonly self: Member;
+	readonly self: GossipMember;
 	readonly members: MemberList;
 	readonly getStoreRole: () => StoreRole;
 	readonly signal: AbortSignal;
--- a/packages/gateway/src/peers/make-report.ts
+++ b/packages/gateway/src/peers/make-report.ts
@@ -1,9 +1,9 @@
 /** Builds the gossip report of this daemon. */
-import {readRecord} from '@shallotpass/core/placement/engine-pace.js';
-import {readWorkRate} from '@shallotpass/core/engines/work-rate.js';
-import {type GossipReport, type StoreKnowledge} from '@shallotpass/core/gossip/gossip-report.js';
-import {readDemand} from '@shallotpass/core/quotas/account-bucket.js';
-import {readSpentSlots} from '@shallotpass/core/quotas/spending.js';
+import {decayPrefillRecord} from '@shallotpass/core/placement/engine-latency.js';
+import {computeWorkRate} from '@shallotpass/core/engines/work-rate.js';
+import {type GossipReport, type StoreVersions} from '@shallotpass/core/gossip/gossip-report.js';
+import {computeDemand} from '@shallotpass/core/quotas/account-bucket.js';
+import {computeSpentSlots} from '@shallotpass/core/quotas/spending.js';
 import {type GatewayState} from '../gateway-state.js';
 
 /** Number of usage windows in a report: the current one and those whose usage report may still be due. */
@@ -20,7 +20,7 @@
 
 export type ReportInput = {
 	readonly leaseOffset: number;
-	readonly known: StoreKnowledge;
+	readonly known: StoreVersions;
 };
 
 export const makeReport = (gateway: GatewayState, {leaseOffset, known}: ReportInput): GossipReport => {
@@ -28,7 +28,7 @@
 	const now = gateway.clocks.steady();
 	const loads: Array<[string, number[]]> = [];
 	for (const state of registry.byId.values()) {
-		const {tokens, ms} = readRecord(state.reading, now);
+		const {tokens, ms} = decayPrefillRecord(state.reading, now);
 		if (state.running > 0 || ms >= minReportedMs) {
 			loads.push([state.entry.id, [state.running, ...state.pendingTokens, tokens, ms].map(amount => Math.round(amount))]);
 		}
@@ -44,13 +44,13 @@
 		daemons: 1,
 		silentDaemons: 0,
 		known,
-		demands: roundAmounts([...buckets].map(([account, bucket]) => [account, readDemand(bucket, now)] as const)),
-		spent: Object.fromEntries([...gateway.spending].map(([account, spending]) => [account, readSpentSlots(spending, now).map(cost => Math.round(cost))])),
+		demands: roundAmounts([...buckets].map(([account, bucket]) => [account, computeDemand(bucket, now)] as const)),
+		spent: Object.fromEntries([...gateway.spending].map(([account, spending]) => [account, computeSpentSlots(spending, now).map(cost => Math.round(cost))])),
 		loads: Object.fromEntries(loads),
 		usage: Object.fromEntries(windows.map(([window, counts]) => [window, {[incarnation]: counts}])),
-		work: roundAmounts([...gateway.workRates].map(([service, rate]) => [service, readWorkRate(rate, now)] as const)),
+		work: roundAmounts([...gateway.workRates].map(([service, rate]) => [service, computeWorkRate(rate, now)] as const)),
 		leaseOffset,
 		trueTime: gateway.clocks.trueTime(),
-		crashes: Object.fromEntries([...gateway.crashes.endedBy].slice(-maxReportedCrashes).map(([digest, ended]) => [digest, [...ended]])),
+		crashes: Object.fromEntries([...gateway.crashes.crashedIncarnations].slice(-maxReportedCrashes).map(([digest, ended]) => [digest, [...ended]])),
 	};
 };
--- a/packages/gateway/src/peers/ask-peers.ts
+++ b/packages/gateway/src/peers/query-peers.ts
@@ -3,9 +3,9 @@
  * other daemons by JSON-RPC, and decides when this daemon reads the platform's store itself.
  */
 import http from 'node:http';
-import {type StoreKnowledge} from '@shallotpass/core/gossip/gossip-report.js';
-import {getStaleMargin} from '@shallotpass/core/gossip/store-role.js';
-import {type GatewayState, peerSilentMs} from '../gateway-state.js';
+import {type StoreVersions} from '@shallotpass/core/gossip/gossip-report.js';
+import {getStaleMarginMs} from '@shallotpass/core/gossip/store-role.js';
+import {type GatewayState, peerExpiryMs} from '../gateway-state.js';
 import {parseHostAndPort} from '../host-and-port.js';
 import {pauseFor} from '../pause.js';
 import {applyConfiguration, getConfigurationStaleMs} from '../store/follow-configuration.js';
@@ -62,7 +62,7 @@
 });
 
 /** Renews the age of this daemon's state wherever the peer holds the same state. */
-const confirmFreshness = ({gateway, directory}: SharedStateOptions, known: Omit<StoreKnowledge, 'members'>): void => {
+const confirmFreshness = ({gateway, directory}: SharedStateOptions, known: Omit<StoreVersions, 'members'>): void => {
 	const version = gateway.configuration?.configuration.version ?? -1;
 	if (known.configurationVersion === version) {
 		gateway.configurationCheckedAt = Math.max(gateway.configurationCheckedAt, gateway.clocks.steady() - known.configurationAgeMs);
@@ -91,7 +91,7 @@
 };
 
 const listPeerAddresses = (gateway: GatewayState): string[] => {
-	const since = gateway.clocks.steady() - peerSilentMs;
+	const since = gateway.clocks.steady() - peerExpiryMs;
 	const heard = [...gateway.peers.values()].filter(peer => peer.heardAt >= since).map(peer => peer.address);
 	const seeds = gateway.settings.peers.seeds.filter(address => address !== gateway.settings.listen.peers);
 	return heard.length > 0 ? heard : seeds;
@@ -112,7 +112,7 @@
 
 	const {gateway, directory} = options;
 	const {bounds} = gateway.settings;
-	const marginMs = getStaleMargin(options.getStoreRole());
+	const marginMs = getStaleMarginMs(options.getStoreRole());
 	const configurationAge = gateway.clocks.steady() - gateway.configurationCheckedAt;
 	return configurationAge >= getConfigurationStaleMs(bounds) + marginMs || directory.read().ageMs >= getDirectoryPollMs(bounds) + marginMs;
 };
@@ -170,7 +170,7 @@
 
 export type PeerQuerier = {
 	/** Compares a peer's state with this daemon's, and queries the peer if it has newer state. */
-	readonly handleStoreKnowledge: (known: StoreKnowledge, address: string) => void;
+	readonly handleStoreKnowledge: (known: StoreVersions, address: string) => void;
 };
 
 /** Queries the daemons that read the store on behalf of this one for new state, or any peer while this daemon's state is stale. */
--- a/packages/gateway/src/peers/relay-watch.ts
+++ b/packages/gateway/src/peers/relay-monitor.ts
@@ -1,5 +1,5 @@
 /** Monitors the relays of this daemon's zone. A silent relay is skipped for a while, and the next one becomes active. */
-import {type Member} from '@shallotpass/core/gossip/pick-relays.js';
+import {type GossipMember} from '@shallotpass/core/gossip/pick-relays.js';
 import {type GatewayState} from '../gateway-state.js';
 
 /** A relay that receives reports but sends none for this long is skipped, and tried again after the second delay. */
@@ -14,9 +14,9 @@
 	/** Whether the relay is skipped because it was silent. */
 	readonly isSkipped: (address: string) => boolean;
 	/** Skips the first relay if it receives reports but sends none. */
-	readonly checkFirstRelay: (first: Member | undefined) => void;
+	readonly checkFirstRelay: (first: GossipMember | undefined) => void;
 	/** Returns the zone's active relay. The second relay is active only while the first one is not. */
-	readonly findActiveRelay: (relays: readonly Member[]) => Member | undefined;
+	readonly findActiveRelay: (relays: readonly GossipMember[]) => GossipMember | undefined;
 };
 
 export const makeRelayMonitor = (gateway: GatewayState, ownAddress: string): RelayMonitor => {
--- a/packages/gateway/src/peers/shared-state.ts
+++ b/packages/gateway/src/peers/shared-state.ts
@@ -6,9 +6,9 @@
 import http from 'node:http';
 import {JSONRPCServer} from 'json-rpc-2.0';
 import {type ServingConfiguration} from '@shallotpass/core/calls/serving-configuration.js';
-import {type PeerBackend, toPeerBackends} from '@shallotpass/core/directory/take-from-peer.js';
-import {type StoreKnowledge} from '@shallotpass/core/gossip/gossip-report.js';
-import {type Member} from '@shallotpass/core/gossip/pick-relays.js';
+import {type PeerBackend, toPeerBackends} from '@shallotpass/core/directory/adopt-peer-directory.js';
+import {type StoreVersions} from '@shallotpass/core/gossip/gossip-report.js';
+import {type GossipMember} from '@shallotpass/core/gossip/pick-relays.js';
 import {type StoreRole} from '@shallotpass/core/gossip/store-role.js';
 import {type DirectoryFollower} from '../store/follow-directory.js';
 import {type GatewayState} from '../gateway-state.js';
@@ -26,13 +26,13 @@
 	readonly members: number;
 };
 
-export type SharedState = Omit<StoreKnowledge, 'members'> & {
+export type SharedState = Omit<StoreVersions, 'members'> & {
 	/** Present if it is newer than the version in the query. */
 	readonly configuration?: ServingConfiguration;
 	/** Present if they are newer than those in the query and differ from them. */
 	readonly backends?: readonly PeerBackend[];
 	/** Present if this daemon knows more members than the querying one. */
-	readonly members?: readonly Member[];
+	readonly members?: readonly GossipMember[];
 };
 
 export type SharedStateOptions = {
@@ -45,7 +45,7 @@
 };
 
 /** Versions and ages of this daemon's copy of the store, for other daemons to compare. */
-export const getStoreKnowledge = ({gateway, directory, members}: Pick<SharedStateOptions, 'gateway' | 'directory' | 'members'>): StoreKnowledge => {
+export const getStoreKnowledge = ({gateway, directory, members}: Pick<SharedStateOptions, 'gateway' | 'directory' | 'members'>): StoreVersions => {
 	const {directory: {next}, digest, ageMs} = directory.read();
 	return {
 		configurationVersion: gateway.configuration?.configuration.version ?? -1,
--- a/packages/gateway/src/peers/sum-other-loads.ts
+++ b/packages/gateway/src/peers/sum-other-loads.ts
@@ -1,7 +1,7 @@
 /** Sums the load of other daemons on each backend server from their latest reports. */
 import {
-	computeServiceSpeed, firstPace, noReading, readRecord,
-} from '@shallotpass/core/placement/engine-pace.js';
+	computeServiceSpeed, defaultLatencyModel, emptyPrefillSample, decayPrefillRecord,
+} from '@shallotpass/core/placement/engine-latency.js';
 import {trackedRankCount} from '../calls/backend-registry.js';
 import {type GatewayState} from '../gateway-state.js';
 
@@ -11,8 +11,8 @@
 const updateServiceSpeeds = ({registry, clocks}: GatewayState): void => {
 	const now = clocks.steady();
 	for (const [service, states] of registry.byService) {
-		const readings = states.flatMap(state => [readRecord(state.reading, now), state.othersReading]);
-		registry.paces.set(service, {...(registry.paces.get(service) ?? firstPace), tokensPerMs: computeServiceSpeed(readings)});
+		const readings = states.flatMap(state => [decayPrefillRecord(state.reading, now), state.othersReading]);
+		registry.paces.set(service, {...(registry.paces.get(service) ?? defaultLatencyModel), tokensPerMs: computeServiceSpeed(readings)});
 	}
 };
 
@@ -22,7 +22,7 @@
 	for (const state of gateway.registry.byId.values()) {
 		state.othersRunning = 0;
 		state.othersPendingTokens.fill(0);
-		state.othersReading = noReading;
+		state.othersReading = emptyPrefillSample;
 	}
 
 	for (const peer of gateway.peers.values()) {
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -3,7 +3,7 @@
 import {type PromptPart} from '@shallotpass/core/calls/types.js';
 import {type ServingConfiguration} from '@shallotpass/core/calls/serving-configuration.js';
 import {type BackendEntry} from '@shallotpass/core/directory/types.js';
-import {type BackendOrder} from '@shallotpass/core/duties/fold-lease.js';
+import {type BackendOrder} from '@shallotpass/core/duties/lease.js';
 
 /** Topics of the platform's store. The gateway only reads the first two. */
 export type Topic = 'configuration' | 'directory' | 'members' | 'lease';
@@ -96,11 +96,11 @@
 };
 
 /** Request headers of a caller that the gateway evaluates. */
-export type CallerHead = {
+export type CallerHeaders = {
 	readonly id: string | undefined;
 	readonly key: string | undefined;
 	/** Time that the caller will wait for the response. */
-	readonly waitsMs: number | undefined;
+	readonly callerTimeoutMs: number | undefined;
 	readonly promptTokens: number | undefined;
 	readonly outputTokens: number | undefined;
 	readonly promptParts: readonly PromptPart[];
@@ -132,10 +132,10 @@
 
 /** Conversion of the header fields of callers and backend servers. The gateway itself removes hop-by-hop fields. */
 export type WireFormat = {
-	readonly toCallerHead: (headers: IncomingHttpHeaders) => CallerHead;
+	readonly parseCallerHeaders: (headers: IncomingHttpHeaders) => CallerHeaders;
 	/** Returns alternating names and values for the backend server: the caller's fields, except those that the gateway sets itself. */
-	readonly toBackendFields: (callerFields: readonly string[], forwarding: ForwardedCall) => string[];
-	readonly toBackendHead: (status: number, headers: IncomingHttpHeaders) => BackendHeaders;
+	readonly makeBackendFields: (callerFields: readonly string[], forwarding: ForwardedCall) => string[];
+	readonly parseBackendHeaders: (status: number, headers: IncomingHttpHeaders) => BackendHeaders;
 };
 
 export type Platform = {
--- a/packages/gateway/src/start-gateway.ts
+++ b/packages/gateway/src/start-gateway.ts
@@ -3,7 +3,7 @@
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
 import {setTimeout as sleep} from 'node:timers/promises';
-import {firstRole, getLongestPause} from '@shallotpass/core/gossip/store-role.js';
+import {initialStoreRole, getMaxRetryPauseMs} from '@shallotpass/core/gossip/store-role.js';
 import {emptyCrashRegister} from '@shallotpass/core/retries/crash-register.js';
 import {makeBackendRegistry} from './calls/backend-registry.js';
 import {type CallersListener, listenForCallers, listenForReadinessChecks} from './calls/callers-listener.js';
@@ -17,9 +17,9 @@
 import {collectProcessMetrics, makeGatewayMetrics} from './telemetry/gateway-metrics.js';
 import {type GatewaySettings} from './gateway-settings.js';
 import {countDaemons, type GatewayState} from './gateway-state.js';
-import {makeOrderPlanner} from './leader/order-plan.js';
+import {makeOrderPlanner} from './leader/order-planner.js';
 import {startGossip} from './peers/gossip.js';
-import {isServedByPeers, type PeerQuerier, startPeerQueries} from './peers/ask-peers.js';
+import {isServedByPeers, type PeerQuerier, startPeerQueries} from './peers/query-peers.js';
 import {getStoreKnowledge, listenForPeers, type SharedStateOptions} from './peers/shared-state.js';
 import {type Platform, type Topic} from './ports.js';
 
@@ -65,11 +65,11 @@
 	configuration: undefined,
 	configurationCheckedAt: Number.NEGATIVE_INFINITY,
 	registry: makeBackendRegistry(),
-	directorySince: undefined,
+	directoryReadAt: undefined,
 	buckets: new Map(),
 	spending: new Map(),
 	inherited: undefined,
-	hasSpending: false,
+	isSpendingLoaded: false,
 	startedAt: performance.now(),
 	allowances: new Map(),
 	usage: new Map(),
@@ -138,7 +138,7 @@
 	const orderPlanner = makeOrderPlanner(state);
 	const components: {leaderTask?: LeaderTask; sharedState?: SharedStateOptions; peerQuerier?: PeerQuerier} = {};
 	const isPaused = (): boolean => components.sharedState === undefined ? state.settings.instance.firstStart : isServedByPeers(components.sharedState);
-	const getMaxRetryDelayMs = (): number => getLongestPause(components.sharedState?.getStoreRole() ?? firstRole);
+	const getMaxRetryDelayMs = (): number => getMaxRetryPauseMs(components.sharedState?.getStoreRole() ?? initialStoreRole);
 	const directory = followDirectory({
 		gateway: state, platform, isPaused, getMaxRetryDelayMs, signal,
 	});
--- a/packages/gateway/src/store/follow-configuration.ts
+++ b/packages/gateway/src/store/follow-configuration.ts
@@ -1,5 +1,5 @@
 /** Follows the configuration in the store and applies the newest version. A process never returns to an older version. */
-import {toIndexedConfiguration} from '@shallotpass/core/calls/index-configuration.js';
+import {indexConfiguration} from '@shallotpass/core/calls/index-configuration.js';
 import {type ServingConfiguration} from '@shallotpass/core/calls/serving-configuration.js';
 import {type GatewaySettings} from '../gateway-settings.js';
 import {type GatewayState} from '../gateway-state.js';
@@ -15,7 +15,7 @@
 		return false;
 	}
 
-	gateway.configuration = toIndexedConfiguration(configuration);
+	gateway.configuration = indexConfiguration(configuration);
 	gateway.log.write('state', 'configuration_taken', {
 		version: configuration.version, before: current, source, routes: configuration.routes.length, accounts: configuration.accounts.length,
 	});
--- a/packages/gateway/src/store/follow-directory.ts
+++ b/packages/gateway/src/store/follow-directory.ts
@@ -1,9 +1,9 @@
 /** Maintains the directory of backend servers from the entries that they write into the store. */
 import {
-	dropMissing, foldDirectory, takeListing, type DirectoryRecord,
-} from '@shallotpass/core/directory/fold-directory.js';
+	dropExpired, applyDirectoryRecords, applyListing, type DirectoryRecord,
+} from '@shallotpass/core/directory/directory-state.js';
 import {digestDirectory} from '@shallotpass/core/directory/digest-directory.js';
-import {type PeerDirectory, takePeerDirectory} from '@shallotpass/core/directory/take-from-peer.js';
+import {type PeerDirectory, adoptPeerDirectory} from '@shallotpass/core/directory/adopt-peer-directory.js';
 import {type Directory, emptyDirectory} from '@shallotpass/core/directory/types.js';
 import {applyDirectory} from '../calls/backend-registry.js';
 import {type GatewaySettings} from '../gateway-settings.js';
@@ -69,7 +69,7 @@
 	});
 
 	const replaceDirectory = (next: Directory): void => {
-		directory = dropMissing(next, now());
+		directory = dropExpired(next, now());
 		digest = digestDirectory(directory);
 		for (const change of applyDirectory(gateway.registry, directory, {now: now(), drainMs: gateway.settings.bounds.drainMs})) {
 			gateway.log.write('state', `backend_${change.kind}`, {
@@ -78,12 +78,12 @@
 			});
 		}
 
-		gateway.directorySince ??= now();
+		gateway.directoryReadAt ??= now();
 	};
 
 	const makeFoldContext = () => ({now: now(), lapsesUntil});
 	const timer = setInterval(() => {
-		const dropped = dropMissing(directory, now());
+		const dropped = dropExpired(directory, now());
 		if (!isStoreUnavailable && dropped !== directory) {
 			replaceDirectory(dropped);
 		}
@@ -102,10 +102,10 @@
 		signal,
 		handlers: {
 			onListing(records, end) {
-				replaceDirectory(takeListing(directory, records.map(record => toRecord(record)), end, makeFoldContext()));
+				replaceDirectory(applyListing(directory, records.map(record => toRecord(record)), end, makeFoldContext()));
 			},
 			onRecords(records) {
-				replaceDirectory(foldDirectory(directory, records.map(record => toRecord(record)), makeFoldContext()));
+				replaceDirectory(applyDirectoryRecords(directory, records.map(record => toRecord(record)), makeFoldContext()));
 			},
 			onResponse() {
 				const wasStale = Number.isFinite(freshAt) && now() > freshAt + peerFreshMs;
@@ -142,7 +142,7 @@
 			const refreshedAt = now() - ageMs;
 			if (peerDirectory.next > directory.next) {
 				gateway.log.write('state', 'directory_from_peer', {next: peerDirectory.next, before: directory.next, ageMs: Math.round(ageMs)});
-				replaceDirectory(takePeerDirectory(directory, peerDirectory, now()));
+				replaceDirectory(adoptPeerDirectory(directory, peerDirectory, now()));
 			}
 
 			recordPeerFreshness(peerDirectory.next, refreshedAt);
--- a/packages/tasks/src/backend-registry.ts
+++ b/packages/tasks/src/backend-registry.ts
@@ -6,15 +6,15 @@
 import {adaptConcurrency, makeConcurrencyLimit, type ConcurrencyLimit} from '@shallotpass/core/admission/adapt-concurrency.js';
 import {
 	countCachedBlocks,
-	dropPrefix,
-	forgetBackend,
+	removeBlocks,
+	removeBackend,
 	listHolders,
 	makeKnownPrefixes,
-	notePrefix,
+	recordPrefix,
 } from '@shallotpass/core/routing/known-prefixes.js';
 import {
-	isSlowedByLoad, learnSpeed, unknownSpeed, type SpeedSample,
-} from '@shallotpass/core/routing/learn-speed.js';
+	isSlowedByLoad, updateSpeed, defaultSpeed, type SpeedSample,
+} from '@shallotpass/core/routing/speed-estimate.js';
 import {chooseLowestCost} from '@shallotpass/core/routing/policies.js';
 import {hashText} from '@shallotpass/core/routing/rank-by-rendezvous.js';
 import {
@@ -157,10 +157,10 @@
 		}
 
 		// The same id at a different address is a new process with an empty cache.
-		forgetBackend(prefixes, described.id);
+		removeBackend(prefixes, described.id);
 		const entry: Entry = {
 			view: {
-				...described, idHash: hashText(described.id), price, isLeaving: false, avoidUntil: 0, running: 0, sentSinceReport: 0, speed: unknownSpeed, pendingTokens: 0, urgent: 0, cacheTokens: 0, limit: maxRunning,
+				...described, idHash: hashText(described.id), price, isLeaving: false, avoidUntil: 0, running: 0, sentSinceReport: 0, speed: defaultSpeed, pendingTokens: 0, urgentCalls: 0, cacheTokens: 0, limit: maxRunning,
 			},
 			origin,
 			leavesAt: undefined,
@@ -174,7 +174,7 @@
 
 	const removeEntry = (id: string): void => {
 		entries.delete(id);
-		forgetBackend(prefixes, id);
+		removeBackend(prefixes, id);
 	};
 
 	const updateMetrics = (): void => {
@@ -271,11 +271,11 @@
 			}
 
 			for (const {kind, blocks} of events) {
-				(kind === 'stored' ? notePrefix : dropPrefix)(prefixes, id, blocks);
+				(kind === 'stored' ? recordPrefix : removeBlocks)(prefixes, id, blocks);
 			}
 		},
 		forgetCache(id) {
-			forgetBackend(prefixes, id);
+			removeBackend(prefixes, id);
 		},
 		choose(call) {
 			return policy({
@@ -297,7 +297,7 @@
 			entry.sentTimes = [...entry.sentTimes.slice(-maxRememberedSends), clock.now()];
 			const {view} = entry;
 			entry.view = {
-				...view, running: view.running + 1, pendingTokens: view.pendingTokens + promptTokens, urgent: view.urgent + (isUrgent ? 1 : 0), sentSinceReport: view.report === undefined ? 0 : view.sentSinceReport + 1,
+				...view, running: view.running + 1, pendingTokens: view.pendingTokens + promptTokens, urgentCalls: view.urgentCalls + (isUrgent ? 1 : 0), sentSinceReport: view.report === undefined ? 0 : view.sentSinceReport + 1,
 			};
 			metrics.running.inc();
 		},
@@ -305,7 +305,7 @@
 			updateView(id, view => ({...view, pendingTokens: Math.max(0, view.pendingTokens - promptTokens)}));
 		},
 		end(id, isUrgent = false) {
-			updateView(id, view => ({...view, running: Math.max(0, view.running - 1), urgent: Math.max(0, view.urgent - (isUrgent ? 1 : 0))}));
+			updateView(id, view => ({...view, running: Math.max(0, view.running - 1), urgentCalls: Math.max(0, view.urgentCalls - (isUrgent ? 1 : 0))}));
 			metrics.running.dec();
 		},
 		recordSpeedSample(id, sample, chain) {
@@ -315,10 +315,10 @@
 			}
 
 			entry.concurrency = adaptConcurrency(entry.concurrency, {
-				now: clock.now(), running: entry.view.running, isOverloaded: isSlowedByLoad(entry.view.speed, sample) || (entry.view.report?.queued ?? 0) > 0, mostRunning: maxRunning,
+				now: clock.now(), running: entry.view.running, isOverloaded: isSlowedByLoad(entry.view.speed, sample) || (entry.view.report?.queued ?? 0) > 0, maxConcurrency: maxRunning,
 			});
-			entry.view = {...entry.view, speed: learnSpeed(entry.view.speed, sample), limit: entry.concurrency.limit};
-			notePrefix(prefixes, id, chain);
+			entry.view = {...entry.view, speed: updateSpeed(entry.view.speed, sample), limit: entry.concurrency.limit};
+			recordPrefix(prefixes, id, chain);
 		},
 		avoid(id) {
 			updateView(id, view => ({...view, avoidUntil: clock.now() + avoidanceMs}));
--- a/packages/tasks/src/claim-service.ts
+++ b/packages/tasks/src/claim-service.ts
@@ -6,7 +6,7 @@
 import {type Claim, type Outcome} from '@shallotpass/common/log-records.js';
 import {type LogService} from '@shallotpass/common/log-service.js';
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
-import {makeKeyName} from '@shallotpass/core/claims/fold-claims.js';
+import {makeKeyName} from '@shallotpass/core/claims/claim-state.js';
 import {pickClaimStream, pickClaimWriter} from '@shallotpass/core/claims/pick-claim-shard.js';
 import {type Hop} from '@shallotpass/telemetry/tracing.js';
 import {type PeerClient} from '@shallotpass/peers/peer-client.js';
--- a/packages/tasks/src/claim-shard.ts
+++ b/packages/tasks/src/claim-shard.ts
@@ -10,10 +10,10 @@
 import {type LogRecord, type LogService} from '@shallotpass/common/log-service.js';
 import {addMilliseconds, type LogOffset} from '@shallotpass/common/types.js';
 import {
-	foldClaimRecord, forgetOldKeys, makeClaimState, makeKeyName, noteClaimTrim,
-} from '@shallotpass/core/claims/fold-claims.js';
-import {judgeClaim} from '@shallotpass/core/claims/judge-claim.js';
-import {type ClaimState, type ClaimVerdict} from '@shallotpass/core/claims/types.js';
+	applyClaimRecord, deleteExpiredKeys, makeClaimState, makeKeyName, applyClaimTrim,
+} from '@shallotpass/core/claims/claim-state.js';
+import {decideClaim} from '@shallotpass/core/claims/decide-claim.js';
+import {type ClaimState, type ClaimDecision} from '@shallotpass/core/claims/types.js';
 import {type ClaimAnswer} from '@shallotpass/peers/peer-methods.js';
 import {type Environment} from './environment.js';
 
@@ -51,7 +51,7 @@
  * promised, which only costs memory.
  */
 const foldWithReadTime = (state: ClaimState, record: Pick<LogRecord, 'offset' | 'record'>): ClaimState =>
-	foldClaimRecord(state, {...record, appendedAt: performance.now()});
+	applyClaimRecord(state, {...record, appendedAt: performance.now()});
 
 const makeUnavailable = (detail: string): ClaimAnswer => ({kind: 'unavailable', detail});
 
@@ -88,7 +88,7 @@
 		}
 
 		const oldestLeftAt = oldest?.appendedAt ?? getLogTime();
-		state = noteClaimTrim(state, earliest, oldestLeftAt, keyMemoryMs);
+		state = applyClaimTrim(state, earliest, oldestLeftAt, keyMemoryMs);
 		logger.warn('claims_trimmed_before_reading', {stream, earliest, unsafeUntil: state.unsafeUntil});
 	};
 
@@ -110,7 +110,7 @@
 			}
 
 			if (result.records.length === 0) {
-				forgetOldKeys(state, performance.now(), keyMemoryMs);
+				deleteExpiredKeys(state, performance.now(), keyMemoryMs);
 				return;
 			}
 		}
@@ -133,7 +133,7 @@
 		await nextReading;
 	};
 
-	const evaluateClaim = (claim: Claim): ClaimVerdict => judgeClaim({
+	const evaluateClaim = (claim: Claim): ClaimDecision => decideClaim({
 		state, claim, now: clock.now(), logTime: getLogTime(), isOwnerGone,
 	});
 
@@ -147,7 +147,7 @@
 		return outcome?.kind === 'answered' ? outcome.answer : undefined;
 	};
 
-	const toAnswer = async (verdict: ClaimVerdict, claim: Claim): Promise<ClaimAnswer> => {
+	const toAnswer = async (verdict: ClaimDecision, claim: Claim): Promise<ClaimAnswer> => {
 		switch (verdict.kind) {
 			case 'answered': {
 				const answer = await readAnswer(verdict.outcomeOffset, claim);
@@ -205,7 +205,7 @@
 			}
 
 			if (offset < state.foldedTo) {
-				forgetOldKeys(state, performance.now(), keyMemoryMs);
+				deleteExpiredKeys(state, performance.now(), keyMemoryMs);
 				return true;
 			}
 		} catch (error) {
@@ -272,10 +272,10 @@
 					await catchUp();
 				}
 
-				const initialVerdict = evaluateClaim(claim);
-				const isSettled = initialVerdict.kind === 'answered' || initialVerdict.kind === 'answered_not_kept' || initialVerdict.kind === 'reused';
-				if (isSettled || (initialVerdict.kind === 'unsafe' && isUnsafe())) {
-					return await toAnswer(initialVerdict, claim);
+				const initialDecision = evaluateClaim(claim);
+				const isSettled = initialDecision.kind === 'answered' || initialDecision.kind === 'answered_not_kept' || initialDecision.kind === 'reused';
+				if (isSettled || (initialDecision.kind === 'unsafe' && isUnsafe())) {
+					return await toAnswer(initialDecision, claim);
 				}
 
 				const isInLog = await enqueueClaim(claim);
--- a/packages/tasks/src/configuration-task.ts
+++ b/packages/tasks/src/configuration-task.ts
@@ -5,16 +5,16 @@
 import {startTask, type Step} from '@shallotpass/common/task.js';
 import {addMilliseconds, type LogOffset} from '@shallotpass/common/types.js';
 import {
-	emptyConfigurationState, foldConfigurationRecord, noteTrim, settleGap,
-} from '@shallotpass/core/configuration/fold-configuration.js';
+	emptyConfigurationState, applyConfigurationRecord, applyTrim, closeGap,
+} from '@shallotpass/core/configuration/configuration-state.js';
 import {planRestatements} from '@shallotpass/core/configuration/plan-restatement.js';
 import {
 	hasNewerVersion,
 	makeOffer,
 	makeVersionDigest,
-	startFromOffer,
-	takeOffer,
-} from '@shallotpass/core/configuration/take-offer.js';
+	initializeFromOffer,
+	applyOffer,
+} from '@shallotpass/core/configuration/exchange-offers.js';
 import {type AcceptedConfiguration, type ConfigurationOffer, type ConfigurationState} from '@shallotpass/core/configuration/types.js';
 import {followLog, readLimit, type LogEvent} from '@shallotpass/provider/follow-log.js';
 import {type Environment} from './environment.js';
@@ -97,11 +97,11 @@
 const foldLogEvent = (state: TaskState, event: LogEvent): Step<TaskState, Effect> => {
 	switch (event.kind) {
 		case 'record': {
-			return makeStep(state, foldConfigurationRecord(state.configuration, event.record));
+			return makeStep(state, applyConfigurationRecord(state.configuration, event.record));
 		}
 
 		case 'trimmed': {
-			return {state: {...state, configuration: noteTrim(state.configuration, event.earliest)}, effects: [{kind: 'ask_members'}]};
+			return {state: {...state, configuration: applyTrim(state.configuration, event.earliest)}, effects: [{kind: 'ask_members'}]};
 		}
 
 		case 'caught_up': {
@@ -121,11 +121,11 @@
 		}
 
 		case 'offer': {
-			return makeStep(state, takeOffer(state.configuration, message.offer, now()));
+			return makeStep(state, applyOffer(state.configuration, message.offer, now()));
 		}
 
 		case 'start': {
-			return makeStep(state, startFromOffer(state.configuration, message.offer, now()));
+			return makeStep(state, initializeFromOffer(state.configuration, message.offer, now()));
 		}
 
 		case 'versions': {
@@ -133,12 +133,12 @@
 		}
 
 		case 'settle': {
-			return makeStep(state, settleGap(state.configuration));
+			return makeStep(state, closeGap(state.configuration));
 		}
 
 		case 'restate': {
 			const records = planRestatements({
-				state: state.configuration, now: now(), ageMs: restatementAgeMs, place: message.place,
+				state: state.configuration, now: now(), ageMs: restatementAgeMs, memberIndex: message.place,
 			});
 			return {state, effects: records.map(record => ({kind: 'append', record}))};
 		}
--- a/packages/tasks/src/fleet-duty.ts
+++ b/packages/tasks/src/fleet-duty.ts
@@ -12,10 +12,10 @@
 import {type FleetRecord} from '@shallotpass/common/log-records.js';
 import {type LogService} from '@shallotpass/common/log-service.js';
 import {addMilliseconds, type Deadline, type LogOffset} from '@shallotpass/common/types.js';
-import {foldFleetRecord, isLeaseFree, makeFleetState} from '@shallotpass/core/fleet/fold-fleet.js';
-import {noteRefusal} from '@shallotpass/core/fleet/note-refusal.js';
+import {applyFleetRecord, isLeaseFree, makeFleetState} from '@shallotpass/core/fleet/fleet-state.js';
+import {recordRefusal} from '@shallotpass/core/fleet/record-refusal.js';
 import {
-	makeOfferKey, type FleetLease, type FleetOrder, type FleetState, type Offer, type PlanFleet, type Refusal,
+	makeOfferKey, type FleetLease, type FleetOrder, type FleetState, type Offer, type FleetPlanner, type Refusal,
 } from '@shallotpass/core/fleet/types.js';
 import {type Environment} from './environment.js';
 
@@ -42,7 +42,7 @@
 	readonly environment: Environment;
 	readonly log: LogService;
 	readonly cloud: CloudService;
-	readonly plan: PlanFleet;
+	readonly plan: FleetPlanner;
 	readonly availabilityZone: string;
 	/** Identifies the daemon process, so that a restarted daemon does not inherit the lease. */
 	readonly holder: string;
@@ -91,7 +91,7 @@
 			}
 
 			for (const record of reading.records) {
-				state = foldFleetRecord(state, record);
+				state = applyFleetRecord(state, record);
 			}
 
 			if (reading.records.length === 0) {
@@ -185,7 +185,7 @@
 		const orders = listOpenOrders(running).filter(order => order.availabilityZone === availabilityZone && !isInstanceGone(order) && !startTimes.has(order.token));
 		const results = await Promise.all(orders.map(async order => ({order, reply: await tryStart(order)})));
 		const refused = results.filter(result => result.reply === 'refused').map(result => result.order);
-		const refusals = new Map(refused.map(order => [makeOfferKey(order), noteRefusal({
+		const refusals = new Map(refused.map(order => [makeOfferKey(order), recordRefusal({
 			known: state.refusals.get(makeOfferKey(order)), offer: order, now: clock.now(), firstWaitMs: timing.firstRefusalWaitMs, random,
 		})]));
 		if (refused.length > 0) {
--- a/packages/tasks/src/membership-task.ts
+++ b/packages/tasks/src/membership-task.ts
@@ -5,18 +5,18 @@
 import {
 	announceLeaving,
 	applyUpdates,
-	chooseHelpers,
-	chooseProbe,
-	digestView,
+	chooseIndirectProbers,
+	chooseProbeTarget,
+	digestMembers,
 	expireMembers,
 	isProcessGone,
 	listReachable,
-	listSteady,
+	listAssignable,
 	makeMembershipState,
 	suspectMember,
-	takeIntroduction,
+	applyIntroduction,
 	takeRumors,
-} from '@shallotpass/core/membership/fold-membership.js';
+} from '@shallotpass/core/membership/membership-state.js';
 import {
 	defaultMembershipOptions,
 	memberStatuses,
@@ -149,7 +149,7 @@
 	 * difference reveals this, and the full member list is requested.
 	 */
 	const trackViewDifference = (view: number): void => {
-		consecutiveDifferences = view === digestView(task.getState()) ? 0 : consecutiveDifferences + 1;
+		consecutiveDifferences = view === digestMembers(task.getState()) ? 0 : consecutiveDifferences + 1;
 	};
 
 	/** Whether the next probe requests the full member list. If so, further requests are blocked for some periods. */
@@ -171,7 +171,7 @@
 				{updates: collectUpdates(receiver), versions: options.makeVersionDigest(), wantsIntroduction: requestIntroductionIfDue()},
 				addMilliseconds(clock.now(), timeoutMs),
 			);
-			task.send({kind: 'replace', change: state => takeIntroduction(state, reply.introduction, clock.now(), membershipOptions)});
+			task.send({kind: 'replace', change: state => applyIntroduction(state, reply.introduction, clock.now(), membershipOptions)});
 			task.send({kind: 'updates', updates: reply.updates});
 			trackViewDifference(reply.view);
 			options.receiveVersions(address, reply.versions);
@@ -183,7 +183,7 @@
 	};
 
 	const probeIndirectly = async (target: Member): Promise<boolean> => {
-		const helpers = chooseHelpers(task.getState(), target.id, indirectProbeCount, random);
+		const helpers = chooseIndirectProbers(task.getState(), target.id, indirectProbeCount, random);
 		const answers = await Promise.all(helpers.map(async helper => {
 			try {
 				const {isAlive} = await client.ask(helper.address, 'probeFor', {id: target.id}, addMilliseconds(clock.now(), probeEveryMs));
@@ -228,7 +228,7 @@
 	const runProbeLoop = async (): Promise<void> => {
 		for (let period = 0; !signal.aborted; period++) {
 			task.send({kind: 'expire'});
-			const choice = chooseProbe(task.getState(), random);
+			const choice = chooseProbeTarget(task.getState(), random);
 			task.send({kind: 'replace', change: state => ({...state, round: choice.state.round})});
 			if (choice.target !== undefined) {
 				void probeMember(choice.target);
@@ -249,7 +249,7 @@
 		getState: task.getState,
 		getSelf: () => task.getState().self,
 		listReachable: () => listReachable(task.getState()),
-		listSteady: () => listSteady(task.getState()),
+		listSteady: () => listAssignable(task.getState()),
 		findAddress: id => task.getState().members.get(id)?.address,
 		listPeers: () => [...task.getState().members.values()].filter(member => member.status !== 'dead'),
 		isProcessGone: (id, epoch) => isProcessGone(task.getState(), id, epoch),
@@ -266,7 +266,7 @@
 				updates: collectUpdates(sender),
 				introduction,
 				versions: options.makeVersionDigest(),
-				view: digestView(task.getState()),
+				view: digestMembers(task.getState()),
 			};
 		},
 		async answerProbeFor(id) {
--- a/packages/tasks/src/suspect-registry.ts
+++ b/packages/tasks/src/suspect-registry.ts
@@ -6,7 +6,7 @@
 import {isAnswering} from '@shallotpass/backends/engine-load.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {
-	forgetSuspects, liftSuspect, mergeSuspects, recordDeath, zoneWaveWindowMs, type InFlight, type Suspect, type SuspectState,
+	expireSuspects, removeSuspect, mergeSuspects, recordDeath, massReclaimWindowMs, type InFlight, type Suspect, type SuspectState,
 } from '@shallotpass/core/retries/suspects.js';
 import {type BackendRegistry} from './backend-registry.js';
 import {type Environment} from './environment.js';
@@ -73,7 +73,7 @@
 
 	const countZoneDeaths = (availabilityZone: string): number => {
 		const now = clock.now();
-		deaths = deaths.filter(death => now - death.at < zoneWaveWindowMs);
+		deaths = deaths.filter(death => now - death.at < massReclaimWindowMs);
 		return deaths.filter(death => death.availabilityZone === availabilityZone).length;
 	};
 
@@ -121,19 +121,19 @@
 			return suspect !== undefined && suspect.forgetAt > clock.now() ? suspect : undefined;
 		},
 		list() {
-			setState(forgetSuspects(state, clock.now()));
+			setState(expireSuspects(state, clock.now()));
 			return [...state.values()];
 		},
 		merge(suspects, lifted) {
 			let next = mergeSuspects(state, suspects);
 			for (const fingerprint of lifted) {
-				next = liftSuspect(next, fingerprint);
+				next = removeSuspect(next, fingerprint);
 			}
 
 			setState(next);
 		},
 		lift(fingerprint) {
-			setState(liftSuspect(state, fingerprint));
+			setState(removeSuspect(state, fingerprint));
 			spread([], [fingerprint]);
 		},
 		trackRun(backendId, run) {
--- a/scripts/measure/src/fleet/fleet-policies.ts
+++ b/scripts/measure/src/fleet/fleet-policies.ts
@@ -1,7 +1,7 @@
 /** Ways of sizing the fleet, by name; all but the last are baselines. */
-import {makePlanFleet} from '@shallotpass/core/fleet/plan-fleet.js';
+import {makeFleetPlanner} from '@shallotpass/core/fleet/plan-fleet.js';
 import {
-	makeOfferKey, type FleetPlan, type FleetView, type Offer, type PlanFleet,
+	makeOfferKey, type FleetPlan, type FleetView, type Offer, type FleetPlanner,
 } from '@shallotpass/core/fleet/types.js';
 import {type SmoothingOptions} from '@shallotpass/core/fleet/smooth-demand.js';
 import {listEngines, type Deployment} from '../routing/deployment.js';
@@ -11,11 +11,11 @@
 	readonly isBaseline: boolean;
 	/** How the demand is smoothed before it is foreseen; without, the plan sees it as it is. */
 	readonly smoothing: SmoothingOptions | undefined;
-	readonly make: (deployment: Deployment) => PlanFleet;
+	readonly make: (deployment: Deployment) => FleetPlanner;
 };
 
 /** The engines of the deployment, always; what is missing is started again. */
-const makeFixed = (isReclaimable: boolean) => (deployment: Deployment): PlanFleet => (view): FleetPlan => {
+const makeFixed = (isReclaimable: boolean) => (deployment: Deployment): FleetPlanner => (view): FleetPlan => {
 	const missing = new Map<string, number>();
 	for (const {availabilityZone, machine} of listEngines(deployment)) {
 		const key = makeOfferKey({availabilityZone, machineClass: machine.name, isReclaimable});
@@ -69,8 +69,8 @@
 		name: 'planned',
 		isBaseline: false,
 		smoothing: {fallMs: 60_000, slopeMs: 4000},
-		make: () => makePlanFleet({
-			headroom: 1.3, chance: 6, leastPlaces: 30, leastStayMs: 60_000,
+		make: () => makeFleetPlanner({
+			headroom: 1.3, peakReserve: 6, minPlaces: 30, minRuntimeMs: 60_000,
 		}),
 	},
 ];
--- a/scripts/measure/src/fleet/run-day.ts
+++ b/scripts/measure/src/fleet/run-day.ts
@@ -7,7 +7,7 @@
 import {type Deadline} from '@shallotpass/common/types.js';
 import {type CloudInstance} from '@shallotpass/common/cloud-service.js';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
-import {foreseeDemand, smoothDemand, type SmoothedDemand} from '@shallotpass/core/fleet/smooth-demand.js';
+import {forecastDemand, smoothDemand, type SmoothedDemand} from '@shallotpass/core/fleet/smooth-demand.js';
 import {makeOfferKey, type Offer} from '@shallotpass/core/fleet/types.js';
 import {chooseLowestCost} from '@shallotpass/core/routing/policies.js';
 import {type ListedInstance} from '@shallotpass/common/instance-list.js';
@@ -203,7 +203,7 @@
 		}
 
 		smoothed = smoothDemand(smoothed, used, day.clock.now(), smoothing);
-		return {offers, fixedPlaces: 0, demandPlaces: foreseeDemand(smoothed, startMs)};
+		return {offers, fixedPlaces: 0, demandPlaces: forecastDemand(smoothed, startMs)};
 	};
 };
 
--- a/scripts/measure/src/policies/make-calls.ts
+++ b/scripts/measure/src/policies/make-calls.ts
@@ -1,6 +1,6 @@
 /** The calls of one play, from a seed: the same ones for every policy. */
 import {type PromptPart} from '@shallotpass/core/calls/types.js';
-import {hashTextWide} from '@shallotpass/core/routing/rank-by-rendezvous.js';
+import {hashText64} from '@shallotpass/core/routing/rank-by-rendezvous.js';
 import {blockCharacters, estimateTokens} from '@shallotpass/core/routing/hash-prompt.js';
 import {type Customer, type Kind} from './customer.js';
 
@@ -34,7 +34,7 @@
 	mean * Math.exp((spread * drawNormal(random)) - (spread * spread / 2));
 
 const makeChain = (parts: readonly PromptPart[]): bigint[] => parts.flatMap(({id, tokens}) =>
-	Array.from({length: Math.floor(tokens / blockTokens)}, (_block, index) => hashTextWide(`${id}/${index}`)));
+	Array.from({length: Math.floor(tokens / blockTokens)}, (_block, index) => hashText64(`${id}/${index}`)));
 
 const makeSharedParts = ({name, shared}: Kind, random: Random): PromptPart[] => shared.map(({things, tokens}, index) => {
 	// The root of a uniform number makes the first things the most frequent ones.
--- a/scripts/measure/src/policies/play-policies.ts
+++ b/scripts/measure/src/policies/play-policies.ts
@@ -1,6 +1,6 @@
 /** Plays a customer's load on several daemons and engines in virtual time, and says what callers got. */
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
-import {type Need} from '@shallotpass/core/engines/need-engines.js';
+import {type DemandEstimate} from '@shallotpass/core/engines/estimate-demand.js';
 import {makeManualClock, type ManualClock} from '../routing/manual-clock.js';
 import {type Customer} from './customer.js';
 import {makeCalls, type PlayedCall} from './make-calls.js';
@@ -98,7 +98,7 @@
 };
 
 const startPlanning = ({customer, policies, clock, fleet, daemons}: Play): void => {
-	let need: Need | undefined;
+	let need: DemandEstimate | undefined;
 	let planned = 0;
 	const {engine} = customer;
 	const bounds = {
@@ -114,7 +114,7 @@
 			places: engine.places,
 			bootMs: engine.bootMs,
 		}, now);
-		planned = policies.roundNeed(need.engines, planned);
+		planned = policies.roundNeed(need.backends, planned);
 		fleet.order(policies.plan({
 			service: 'llm', bounds, zones: fleet.listZones(), needed: planned, assumed: Math.ceil(need.assumed), now,
 		}));
--- a/scripts/measure/src/policies/report-board.ts
+++ b/scripts/measure/src/policies/report-board.ts
@@ -1,12 +1,12 @@
 /** What the daemons of a play told, added up as it is told, so that a play of hundreds of daemons stays quick. */
-import {noReading, type Reading} from '@shallotpass/core/placement/engine-pace.js';
+import {emptyPrefillSample, type PrefillSample} from '@shallotpass/core/placement/engine-latency.js';
 
 export const countedRanks = 3;
 
 export type ToldLoad = {
 	readonly running: number;
 	readonly pending: readonly number[];
-	readonly reading: Reading;
+	readonly reading: PrefillSample;
 };
 
 /** What a daemon told last. */
@@ -17,7 +17,7 @@
 
 export const nothingTold: Told = {loads: new Map(), tokensPerSecond: 0};
 
-const noLoad: ToldLoad = {running: 0, pending: Array.from<number>({length: countedRanks}).fill(0), reading: noReading};
+const noLoad: ToldLoad = {running: 0, pending: Array.from<number>({length: countedRanks}).fill(0), reading: emptyPrefillSample};
 
 const addLoad = (left: ToldLoad, right: ToldLoad, sign: 1 | -1): ToldLoad => ({
 	running: left.running + (sign * right.running),
--- a/scripts/measure/src/policies/virtual-daemon.ts
+++ b/scripts/measure/src/policies/virtual-daemon.ts
@@ -1,13 +1,13 @@
 /** A daemon of a play: what it believes of the engines, what it tells the others, and where it sends a call. */
 import {
-	computeServiceSpeed, emptyRecord, firstPace, learnFixed, noteReading, type ReadingRecord, readRecord, type ServicePace, toReading,
-} from '@shallotpass/core/placement/engine-pace.js';
-import {notePart, type PrefixMemory} from '@shallotpass/core/placement/prefix-memory.js';
-import {countCachedTokens, findHome, getKeyHash} from '@shallotpass/core/placement/prompt-homes.js';
-import {computeDetour} from '@shallotpass/core/placement/spread-choices.js';
+	computeServiceSpeed, emptyPrefillRecord, defaultLatencyModel, updateFixedLatency, recordPrefill, type PrefillRecord, decayPrefillRecord, type LatencyModel, toPrefillSample,
+} from '@shallotpass/core/placement/engine-latency.js';
+import {recordPart, type KnownParts} from '@shallotpass/core/placement/known-parts.js';
+import {countCachedTokens, findPreferredBackend, getAffinityHash} from '@shallotpass/core/placement/prompt-affinity.js';
+import {computeOrderPosition} from '@shallotpass/core/placement/spread-choices.js';
 import {type BackendView} from '@shallotpass/core/placement/types.js';
 import {hashText} from '@shallotpass/core/routing/rank-by-rendezvous.js';
-import {noteWork, readWorkRate, type WorkRate} from '@shallotpass/core/engines/work-rate.js';
+import {recordWork, computeWorkRate, type WorkRate} from '@shallotpass/core/engines/work-rate.js';
 import {type PlayedCall} from './make-calls.js';
 import {
 	countedRanks, type ReportBoard, nothingTold, type ToldLoad,
@@ -21,8 +21,8 @@
 	readonly incarnationHash: number;
 	running: number;
 	readonly pending: number[];
-	reading: ReadingRecord;
-	readonly prefixes: PrefixMemory;
+	reading: PrefillRecord;
+	readonly prefixes: KnownParts;
 };
 
 export type VirtualDaemon = {
@@ -30,7 +30,7 @@
 	/** Renews what is told. */
 	readonly tell: (now: number) => void;
 	readonly readWork: (now: number) => number;
-	readonly getPace: () => ServicePace;
+	readonly getPace: () => LatencyModel;
 	readonly countRunning: () => number;
 	/** The engine that the call goes to; undefined when there is none. */
 	readonly place: (call: PlayedCall, now: number) => Sent | undefined;
@@ -59,7 +59,7 @@
 	const {policies, zone} = options;
 	const beliefs = new Map<string, Belief>();
 	let told = nothingTold;
-	let pace = firstPace;
+	let pace = defaultLatencyModel;
 	let work: WorkRate | undefined;
 
 	const getBelief = (engine: VirtualEngine): Belief => {
@@ -69,7 +69,7 @@
 		}
 
 		const belief: Belief = {
-			engine, incarnationHash: hashText(engine.id), running: 0, pending: Array.from<number>({length: countedRanks}).fill(0), reading: emptyRecord, prefixes: new Map(),
+			engine, incarnationHash: hashText(engine.id), running: 0, pending: Array.from<number>({length: countedRanks}).fill(0), reading: emptyPrefillRecord, prefixes: new Map(),
 		};
 		beliefs.set(engine.id, belief);
 		return belief;
@@ -78,7 +78,7 @@
 	const sumOthers = (id: string): ToldLoad => options.board.sumWithout(id, told);
 
 	const learnServiceSpeed = (now: number): void => {
-		const readings = options.listEngines().flatMap(engine => [readRecord(getBelief(engine).reading, now), sumOthers(engine.id).reading]);
+		const readings = options.listEngines().flatMap(engine => [decayPrefillRecord(getBelief(engine).reading, now), sumOthers(engine.id).reading]);
 		pace = {...pace, tokensPerMs: computeServiceSpeed(readings)};
 	};
 
@@ -87,7 +87,7 @@
 		belief.running++;
 		belief.pending[rank]! += reading.tokens;
 		for (const part of call.promptParts) {
-			notePart(belief.prefixes, part.id, reading.now);
+			recordPart(belief.prefixes, part.id, reading.now);
 		}
 
 		let isPending = true;
@@ -101,10 +101,10 @@
 			noteFirst(now) {
 				endPending();
 				const event = {workTokens: reading.workTokens, tookMs: now - reading.now};
-				const seen = toReading(event, pace);
-				pace = learnFixed(pace, event);
+				const seen = toPrefillSample(event, pace);
+				pace = updateFixedLatency(pace, event);
 				if (seen !== undefined) {
-					belief.reading = noteReading(belief.reading, seen, now);
+					belief.reading = recordPrefill(belief.reading, seen, now);
 				}
 			},
 			noteEnd() {
@@ -119,49 +119,49 @@
 		tell(now) {
 			const before = told;
 			told = {
-				loads: new Map([...beliefs].map(([id, {running, pending, reading}]) => [id, {running, pending: [...pending], reading: readRecord(reading, now)}])),
-				tokensPerSecond: work === undefined ? 0 : readWorkRate(work, now),
+				loads: new Map([...beliefs].map(([id, {running, pending, reading}]) => [id, {running, pending: [...pending], reading: decayPrefillRecord(reading, now)}])),
+				tokensPerSecond: work === undefined ? 0 : computeWorkRate(work, now),
 			};
 			options.board.replace(before, told);
 			learnServiceSpeed(now);
 		},
-		readWork: now => work === undefined ? 0 : readWorkRate(work, now),
+		readWork: now => work === undefined ? 0 : computeWorkRate(work, now),
 		getPace: () => pace,
 		countRunning: () => [...beliefs.values()].reduce((sum, {running}) => sum + running, 0),
 		place(call, now) {
 			const engines = options.listEngines();
 			const known = engines.map(engine => getBelief(engine));
-			const keyHash = getKeyHash(call);
-			const home = policies.hasHomes ? findHome(keyHash, known) : undefined;
+			const keyHash = getAffinityHash(call);
+			const home = policies.hasHomes ? findPreferredBackend(keyHash, known) : undefined;
 			const unseenMs = policies.computeUnseen({
 				tokensPerSecond: options.board.getTokensPerSecond() - told.tokensPerSecond,
-				gossipMs: options.gossipMs,
+				gossipDelayMs: options.gossipMs,
 				backends: engines.length,
 				tokensPerMs: pace.tokensPerMs,
 			});
 			const others = new Map(known.map(({engine}) => [engine.id, sumOthers(engine.id)]));
-			const cached = new Map(known.map(belief => [belief.engine.id, countCachedTokens(call.promptParts, {has: partId => belief.prefixes.has(partId), isHome: belief === home})]));
+			const cached = new Map(known.map(belief => [belief.engine.id, countCachedTokens(call.promptParts, {wasSent: partId => belief.prefixes.has(partId), isPreferred: belief === home})]));
 			const views = known.map((belief): BackendView => {
 				const {engine} = belief;
 				const other = others.get(engine.id)!;
 				return {
 					id: engine.id,
-					isRemote: policies.isRemote(zone, engine.zone),
+					isInOtherZone: policies.isRemote(zone, engine.zone),
 					places: options.places,
 					isReclaimable: engine.isReclaimable,
-					pace: {...pace, tokensPerMs: policies.computeSpeed(readRecord(belief.reading, now), other.reading, pace)},
+					latencyModel: {...pace, tokensPerMs: policies.computeSpeed(decayPrefillRecord(belief.reading, now), other.reading, pace)},
 					plainMs: 0,
 					own: {running: belief.running, pendingTokens: belief.pending},
 					others: {running: other.running, pendingTokens: other.pending},
-					failureShare: 0,
-					isFull: false,
+					failureRate: 0,
+					isAtConnectionLimit: false,
 					cachedTokens: cached.get(engine.id) ?? 0,
-					detourMs: unseenMs * computeDetour(keyHash, belief.incarnationHash),
+					spreadPenaltyMs: unseenMs * computeOrderPosition(keyHash, belief.incarnationHash),
 					silentMs: 0,
 				};
 			});
 			const choice = policies.choose(views, {
-				rank: call.kind.rank, promptTokens: call.promptTokens, isStream: true, isBoundToOne: !call.kind.isResumable,
+				rank: call.kind.rank, promptTokens: call.promptTokens, isStream: true, isPinned: !call.kind.isResumable,
 			}, options.random);
 			if (choice === undefined) {
 				return undefined;
@@ -171,7 +171,7 @@
 			const tokens = Math.max(0, call.promptTokens - (cached.get(choice.id) ?? 0));
 			const {pending} = others.get(choice.id)!;
 			const workTokens = tokens + [...belief.pending, ...pending].reduce((sum, waiting) => sum + waiting, 0);
-			work = noteWork(work, tokens, now);
+			work = recordWork(work, tokens, now);
 			return noteSent(belief, call, {tokens, workTokens, now});
 		},
 	};
--- a/scripts/measure/src/policies/virtual-fleet.ts
+++ b/scripts/measure/src/policies/virtual-fleet.ts
@@ -1,6 +1,6 @@
 /** The engines of a play: what is ordered starts, waves take a zone's reclaimable ones, and each second is paid for. */
-import {type BackendOrder} from '@shallotpass/core/duties/fold-lease.js';
-import {type ZoneFleet} from '@shallotpass/core/engines/plan-engines.js';
+import {type BackendOrder} from '@shallotpass/core/duties/lease.js';
+import {type ZoneFleet} from '@shallotpass/core/engines/plan-backends.js';
 import {type ManualClock} from '../routing/manual-clock.js';
 import {type Customer} from './customer.js';
 import {startVirtualEngine, type VirtualEngine} from './virtual-engine.js';
@@ -101,7 +101,7 @@
 			const running = reclaimable.filter(life => isReady(life)).length;
 			return {
 				availabilityZone: name,
-				full: listStanding(name, false).filter(life => isReady(life)).length,
+				onDemand: listStanding(name, false).filter(life => isReady(life)).length,
 				reclaimable: running,
 				starting: reclaimable.length - running,
 				refusedUntil: refusedUntil.get(name) ?? 0,
--- a/scripts/measure/src/routing/entry-daemon.ts
+++ b/scripts/measure/src/routing/entry-daemon.ts
@@ -6,7 +6,7 @@
 import {addMilliseconds, type ConfigurationVersion, type Deadline} from '@shallotpass/common/types.js';
 import {makeAdmissionGate} from '@shallotpass/callers/admission-gate.js';
 import {blockCharacters, estimateTokens} from '@shallotpass/core/routing/hash-prompt.js';
-import {isLate} from '@shallotpass/core/routing/learn-speed.js';
+import {isLate} from '@shallotpass/core/routing/speed-estimate.js';
 import {type BackendView, type LatencyTarget, type RoutingPolicy} from '@shallotpass/core/routing/types.js';
 import {makeBackendRegistry, type BackendRegistry} from '@shallotpass/tasks/backend-registry.js';
 import {type Environment} from '@shallotpass/tasks/environment.js';
--- a/scripts/measure/src/routing/policy-table.ts
+++ b/scripts/measure/src/routing/policy-table.ts
@@ -1,6 +1,6 @@
 /** The policies of the comparison by name; all but the last are baselines. */
 import {
-	chooseLeastRequests, chooseLowestCost, choosePrefixAffinity, chooseTwoChoices, makeRoundRobin,
+	chooseLeastRequests, chooseLowestCost, choosePrefixAffinity, choosePowerOfTwo, makeRoundRobin,
 } from '@shallotpass/core/routing/policies.js';
 import {type RoutingPolicy} from '@shallotpass/core/routing/types.js';
 
@@ -9,7 +9,7 @@
 export const comparedPolicies: readonly NamedPolicy[] = [
 	{name: 'round robin', isBaseline: true, make: makeRoundRobin},
 	{name: 'least requests', isBaseline: true, make: () => chooseLeastRequests},
-	{name: 'two choices', isBaseline: true, make: () => chooseTwoChoices},
+	{name: 'two choices', isBaseline: true, make: () => choosePowerOfTwo},
 	{name: 'prefix affinity', isBaseline: true, make: () => choosePrefixAffinity},
 	{name: 'lowest cost', isBaseline: false, make: () => chooseLowestCost},
 ];
--- a/scripts/measure/src/slopes/core-slopes.ts
+++ b/scripts/measure/src/slopes/core-slopes.ts
@@ -6,19 +6,19 @@
 import {type LogOffset} from '@shallotpass/common/types.js';
 import {dequeueRequest, enqueueRequest, makeWaitingQueue} from '@shallotpass/core/admission/waiting-queue.js';
 import {limitRate} from '@shallotpass/core/admission/limit-rate.js';
-import {foldClaimRecord, makeClaimState} from '@shallotpass/core/claims/fold-claims.js';
-import {emptyConfigurationState, foldConfigurationRecord} from '@shallotpass/core/configuration/fold-configuration.js';
+import {applyClaimRecord, makeClaimState} from '@shallotpass/core/claims/claim-state.js';
+import {emptyConfigurationState, applyConfigurationRecord} from '@shallotpass/core/configuration/configuration-state.js';
 import {
-	applyUpdates, chooseProbe, makeMembershipState, takeRumors,
-} from '@shallotpass/core/membership/fold-membership.js';
+	applyUpdates, chooseProbeTarget, makeMembershipState, takeRumors,
+} from '@shallotpass/core/membership/membership-state.js';
 import {defaultMembershipOptions, type MembershipState, type MemberUpdate} from '@shallotpass/core/membership/types.js';
 import {
 	countCachedBlocks,
 	listHolders,
 	makeKnownPrefixes,
-	notePrefix,
+	recordPrefix,
 } from '@shallotpass/core/routing/known-prefixes.js';
-import {unknownSpeed} from '@shallotpass/core/routing/learn-speed.js';
+import {defaultSpeed} from '@shallotpass/core/routing/speed-estimate.js';
 import {hashText} from '@shallotpass/core/routing/rank-by-rendezvous.js';
 import {chooseLowestCost} from '@shallotpass/core/routing/policies.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
@@ -41,11 +41,11 @@
 	running: index % 7,
 	sentSinceReport: index % 3,
 	pendingTokens: 0,
-	urgent: index % 3,
+	urgentCalls: index % 3,
 	cacheTokens: 200_000,
 	limit: 64,
 	report: {running: index % 9, queued: index % 2, at: 0},
-	speed: unknownSpeed,
+	speed: defaultSpeed,
 	price: 0.3,
 }));
 
@@ -60,8 +60,8 @@
 	const chains = Array.from({length: prefixes}, (_value, prefix) =>
 		Array.from({length: chainBlocks}, (_block, block) => BigInt((prefix * 1000) + block + 1)));
 	for (const [index, chain] of chains.entries()) {
-		notePrefix(known, `engine-${index % engines}`, chain);
-		notePrefix(known, `engine-${(index * 7) % engines}`, chain.slice(0, 8));
+		recordPrefix(known, `engine-${index % engines}`, chain);
+		recordPrefix(known, `engine-${(index * 7) % engines}`, chain.slice(0, 8));
 	}
 
 	return timeCalls(2000, index => {
@@ -88,7 +88,7 @@
 const measureQueue = (length: number): number => {
 	const queue = makeWaitingQueue();
 	const make = (index: number) => ({
-		id: String(index), account: `a${index % 50}`, share: 1, rank: index % 3, work: 100, waitingSince: index, deadline: 1e15, isPatient: false,
+		id: String(index), account: `a${index % 50}`, share: 1, rank: index % 3, work: 100, waitingSince: index, deadline: 1e15, isBackground: false,
 	});
 	for (let index = 0; index < length; index++) {
 		enqueueRequest(queue, make(index), 1e9);
@@ -120,7 +120,7 @@
 		const claims = Array.from({length: claimsInRecord}, (_value, index) => makeClaim((offset * claimsInRecord) + index));
 		// As a reader gets them: nothing shared.
 		const record: unknown = structuredClone({kind: 'claims', claims, outcomes: []});
-		state = foldClaimRecord(state, {offset: offset as LogOffset, appendedAt: 0, record});
+		state = applyClaimRecord(state, {offset: offset as LogOffset, appendedAt: 0, record});
 	}
 
 	return state;
@@ -189,7 +189,7 @@
 			bytes += envelopeBytes + JSON.stringify({updates: [state.self, ...choice.updates], versions: {default: 123_456}}).length;
 		}
 
-		state = chooseProbe(state, random).state;
+		state = chooseProbeTarget(state, random).state;
 	}
 
 	return bytes / seconds;
@@ -200,7 +200,7 @@
 	const random = makeRandom(1);
 	const news = [makeMember(0), makeMember(1)];
 	return timeCalls(2000, () => {
-		state = chooseProbe(state, random).state;
+		state = chooseProbeTarget(state, random).state;
 		state = takeRumors(state, defaultMembershipOptions).state;
 		state = applyUpdates(state, news, 0, defaultMembershipOptions);
 	});
@@ -222,7 +222,7 @@
 	const startedAt = performance.now();
 	let state = emptyConfigurationState;
 	for (let offset = 0; offset < records; offset++) {
-		state = foldConfigurationRecord(state, {
+		state = applyConfigurationRecord(state, {
 			offset: offset as LogOffset,
 			appendedAt: 0,
 			record: {
--- a/scripts/soak/src/callers.ts
+++ b/scripts/soak/src/callers.ts
@@ -37,7 +37,7 @@
 		return {
 			kind: 'answered',
 			status: answer.status,
-			vouchedBy: answer.vouchedBy,
+			sealedBy: answer.sealedBy,
 			requestId: answer.requestId,
 			body: answer.body,
 			isWhole: answer.isWhole,
--- a/scripts/soak/src/check-history.test.ts
+++ b/scripts/soak/src/check-history.test.ts
@@ -8,7 +8,7 @@
 } from './history.js';
 
 const answer = (changes: Partial<CallEnd & {kind: 'answered'}> = {}): CallEnd => ({
-	kind: 'answered', status: 200, vouchedBy: 'app-0', requestId: 'c-1', body: 'answer of app-0 to c-1', isWhole: true, ...changes,
+	kind: 'answered', status: 200, sealedBy: 'app-0', requestId: 'c-1', body: 'answer of app-0 to c-1', isWhole: true, ...changes,
 });
 
 const makeCall = (changes: Partial<EndedCall> = {}): EndedCall => ({
@@ -27,11 +27,11 @@
 const served = Array.from({length: 40}, (_value, index) => makeCall({id: `s-${index}`, end: answer({requestId: `s-${index}`, body: `answer of app-0 to s-${index}`})}));
 const servedRuns = served.map(({id}) => makeRun({id}));
 
-const refuse = (status: number, changes: Partial<EndedCall> = {}): EndedCall => makeCall({end: answer({status, vouchedBy: '', body: ''}), ...changes});
+const refuse = (status: number, changes: Partial<EndedCall> = {}): EndedCall => makeCall({end: answer({status, sealedBy: '', body: ''}), ...changes});
 
 test('a run in which all went well breaks nothing', () => {
 	assert.deepEqual(findViolations(makeHistory()), []);
-	const stream = makeCall({route: 'ask', path: '/ask/a', end: answer({vouchedBy: 'engine-0', body: formatEvents()})});
+	const stream = makeCall({route: 'ask', path: '/ask/a', end: answer({sealedBy: 'engine-0', body: formatEvents()})});
 	assert.deepEqual(findViolations(makeHistory({calls: [stream], runs: [makeRun({backend: 'engine-0', service: 'llm', path: '/ask/a'})]})), []);
 });
 
--- a/scripts/soak/src/check-history.ts
+++ b/scripts/soak/src/check-history.ts
@@ -1,5 +1,5 @@
 /** Holds a recorded run against the promises: what was broken, in plain words. */
-import {findBrokenDuties} from '@shallotpass/platform/stand-ins/check-duties.js';
+import {findDutyViolations} from '@shallotpass/platform/stand-ins/check-duties.js';
 import {formatEvents} from './format-events.js';
 import {
 	type CallEnd, type EndedCall, type History, type Run,
@@ -72,7 +72,7 @@
 };
 
 const checkSuccess = (call: EndedCall, end: CallEnd & {kind: 'answered'}, runs: readonly Run[]): string[] => {
-	if (!runs.some(run => run.backend === end.vouchedBy)) {
+	if (!runs.some(run => run.backend === end.sealedBy)) {
 		return ['a success that no backend server gave'];
 	}
 
@@ -80,7 +80,7 @@
 		return ['the answer of another call'];
 	}
 
-	const expected = serviceOfRoute[call.route] === 'llm' ? formatEvents() : `answer of ${end.vouchedBy} to ${call.id}`;
+	const expected = serviceOfRoute[call.route] === 'llm' ? formatEvents() : `answer of ${end.sealedBy} to ${call.id}`;
 	if (end.isWhole && end.body !== expected) {
 		return [`a whole answer with other bytes: ${JSON.stringify(end.body.slice(0, 200))}`];
 	}
@@ -98,7 +98,7 @@
 		return checkSuccess(call, end, runs);
 	}
 
-	if (notRunStatuses.has(end.status) && end.vouchedBy === '' && onceRoutes.has(call.route) && runs.length > 0) {
+	if (notRunStatuses.has(end.status) && end.sealedBy === '' && onceRoutes.has(call.route) && runs.length > 0) {
 		return [`answered ${end.status}, and ran`];
 	}
 
@@ -165,7 +165,7 @@
 		...unasked,
 		...calls,
 		...(tries.length > spareTries ? [`${tries.length} calls ran more often than their route allows, the first ${tries[0]!.id}`] : []),
-		...findBrokenDuties(history.duties, duty => disturbedDuty(duty.holder, duty.at)),
+		...findDutyViolations(history.duties, duty => disturbedDuty(duty.holder, duty.at)),
 		...history.neverReady.map(daemon => `${daemon} did not become ready again`),
 		...history.ownEnds.map(daemon => `${daemon} ended by itself`),
 		...checkRecovery(history),
--- a/scripts/soak/src/history.ts
+++ b/scripts/soak/src/history.ts
@@ -17,7 +17,7 @@
 		readonly kind: 'answered';
 		readonly status: number;
 		/** Id of the backend server that vouches for the answer; empty when the daemon answered itself. */
-		readonly vouchedBy: string;
+		readonly sealedBy: string;
 		readonly requestId: string;
 		readonly body: string;
 		readonly isWhole: boolean;
--- a/scripts/soak/src/strike.ts
+++ b/scripts/soak/src/strike.ts
@@ -2,7 +2,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Relay} from '@shallotpass/stand-ins/relay.js';
 import {
-	announceBackend, putAccountKeys, secondKey, withdrawBackend,
+	announceBackend, putAccountKeys, secondKey, removeBackend,
 } from '@shallotpass/platform/stand-ins/platform-fixture.js';
 import {shopKey} from '@shallotpass/platform/stand-ins/send-call.js';
 import {type Fault, type LinkFault} from './plan-faults.js';
@@ -81,12 +81,12 @@
 	if (isTold) {
 		announceBackend(store, backend.standIn, {...entry, isLeaving: true});
 	} else {
-		withdrawBackend(store, backend.standIn);
+		removeBackend(store, backend.standIn);
 	}
 
 	const told = performance.now();
 	await sleep(forMs + boundMarginMs);
-	withdrawBackend(store, backend.standIn);
+	removeBackend(store, backend.standIn);
 	await sleep(lastingMs);
 	world.bans.push({
 		kind: 'backend', backend: backend.standIn.id, from: told + inForceMs + boundMarginMs, until: performance.now(),
@@ -113,9 +113,9 @@
 
 const misbehave = async (world: SoakWorld, fault: Fault & {kind: 'misbehave'}): Promise<void> => {
 	const {standIn} = world.backends[fault.backend]!;
-	standIn.misbehave = fault.how;
+	standIn.failureMode = fault.how;
 	await sleep(fault.forMs);
-	standIn.misbehave = undefined;
+	standIn.failureMode = undefined;
 };
 
 export const strike = async (world: SoakWorld, fault: Fault): Promise<void> => {
--- a/tests/src/claim-history.test.ts
+++ b/tests/src/claim-history.test.ts
@@ -6,7 +6,7 @@
 import {type Claim} from '@shallotpass/common/log-records.js';
 import {type LogService} from '@shallotpass/common/log-service.js';
 import {type Deadline} from '@shallotpass/common/types.js';
-import {makeKeyName} from '@shallotpass/core/claims/fold-claims.js';
+import {makeKeyName} from '@shallotpass/core/claims/claim-state.js';
 import {makeSettings} from '@shallotpass/measure/local-fleet.js';
 import {type PeerClient} from '@shallotpass/peers/peer-client.js';
 import {type ClaimAnswer} from '@shallotpass/peers/peer-methods.js';
--- a/tests/src/fleet-duty.test.ts
+++ b/tests/src/fleet-duty.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import {type LogService} from '@shallotpass/common/log-service.js';
-import {makePlanFleet} from '@shallotpass/core/fleet/plan-fleet.js';
+import {makeFleetPlanner} from '@shallotpass/core/fleet/plan-fleet.js';
 import {makeOfferKey, type Offer} from '@shallotpass/core/fleet/types.js';
 import {makeMemoryCloud, type MemoryCloud} from '@shallotpass/measure/fleet/memory-cloud.js';
 import {makeSettings} from '@shallotpass/measure/local-fleet.js';
@@ -71,8 +71,8 @@
 			},
 			log,
 			cloud,
-			plan: makePlanFleet({
-				headroom: 1.25, chance: 0, leastPlaces: 5, leastStayMs: 0,
+			plan: makeFleetPlanner({
+				headroom: 1.25, peakReserve: 0, minPlaces: 5, minRuntimeMs: 0,
 			}),
 			availabilityZone,
 			holder,
--- a/tests/src/recorded-outcomes.test.ts
+++ b/tests/src/recorded-outcomes.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {makeKeyName} from '@shallotpass/core/claims/fold-claims.js';
+import {makeKeyName} from '@shallotpass/core/claims/claim-state.js';
 import {makeTestShard} from './shard-fixture.js';
 
 test('the outcome of a claim that never took hold is recorded once and for all', async () => {
