--- a/packages/provider/src/cloud-notices.ts
+++ b/packages/provider/src/cloud-notices.ts
@@ -1,4 +1,4 @@
-/** Reclaim notices of the cloud API. */
+/** Long polling for reclaim notices: announcements of the cloud API that it will take an instance away. */
 import {type Clock, waitQuietly} from '@shallotpass/common/clock.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {type Dispatcher, request} from 'undici';
@@ -6,7 +6,7 @@
 
 export const noticeSchema = z.object({
 	instanceId: z.string().min(1),
-	/** When the instance is taken away, milliseconds since the epoch. */
+	/** When the cloud takes the instance away, in milliseconds since the epoch. */
 	leavesAt: z.number(),
 });
 
@@ -26,22 +26,23 @@
 	readonly onOutage: (error: unknown) => void;
 };
 
-const longPollMs = 10_000;
-const retryMs = 500;
+const longPollTimeoutMs = 10_000;
+const retryDelayMs = 500;
 
+/** Passes each notice to `onNotice` until the signal is aborted. Retries after errors. */
 export const followNotices = async (options: FollowNoticesOptions): Promise<void> => {
 	const {baseUrl, dispatcher, clock, signal, onNotice, onOutage} = options;
-	let from = 0;
+	let nextNotice = 0;
 	while (!signal.aborted) {
 		try {
 			const url = new URL('notices', baseUrl.endsWith('/') ? baseUrl : `${baseUrl}/`);
-			url.searchParams.set('from', String(from));
-			url.searchParams.set('waitMs', String(longPollMs));
-			/* eslint-disable no-await-in-loop -- each reading starts where the last ended */
-			const response = await request(url, {dispatcher, signal: AbortSignal.any([signal, AbortSignal.timeout(longPollMs * 2)])});
+			url.searchParams.set('from', String(nextNotice));
+			url.searchParams.set('waitMs', String(longPollTimeoutMs));
+			/* eslint-disable no-await-in-loop -- each request continues after the notices of the previous one */
+			const response = await request(url, {dispatcher, signal: AbortSignal.any([signal, AbortSignal.timeout(longPollTimeoutMs * 2)])});
 			const body = noticesSchema.parse(await response.body.json());
 			/* eslint-enable no-await-in-loop */
-			from = body.next;
+			nextNotice = body.next;
 			for (const notice of body.notices) {
 				onNotice(notice);
 			}
@@ -51,7 +52,7 @@
 			}
 
 			onOutage(error);
-			await waitQuietly(clock, addMilliseconds(clock.now(), retryMs), signal); // eslint-disable-line no-await-in-loop
+			await waitQuietly(clock, addMilliseconds(clock.now(), retryDelayMs), signal); // eslint-disable-line no-await-in-loop
 		}
 	}
 };
--- a/packages/provider/src/follow-log.ts
+++ b/packages/provider/src/follow-log.ts
@@ -1,4 +1,4 @@
-/** Reads a stream to its end and goes on as it grows. */
+/** Reads a log stream to its end, then waits for new records. */
 import {type Clock, waitQuietly} from '@shallotpass/common/clock.js';
 import {type LogRecord, type LogService} from '@shallotpass/common/log-service.js';
 import {addMilliseconds, type Deadline, type LogOffset} from '@shallotpass/common/types.js';
@@ -17,45 +17,46 @@
 	readonly random: () => number;
 	readonly signal: AbortSignal;
 	readonly send: (event: LogEvent) => void;
-	/** When the next reading may start once the end was reached; at once when absent. */
+	/** Earliest time of the next read after the end was reached. If absent, the next read starts immediately. */
 	readonly getNextReading?: () => Deadline;
 };
 
-/** Records asked for at once. */
+/** Maximum number of records per read. */
 export const readLimit = 500;
 
 /**
- * A connection that something in between has lost track of shows only by its
- * silence, so a poll must be short against the time a change may take.
+ * A firewall or NAT can drop an open connection without notifying either end. This is detected only when a poll
+ * times out, so polls must be short compared to the time in which changes have to be noticed.
  */
-const longPollMs = 2000;
-const firstRetryMs = 100;
-const longestRetryMs = 2000;
+const longPollTimeoutMs = 2000;
+const initialRetryDelayMs = 100;
+const maxRetryDelayMs = 2000;
 
+/** Sends the stream's records and state changes to `send` until the signal is aborted. Retries failed reads with exponential backoff. */
 export const followLog = async (options: FollowOptions): Promise<void> => {
 	const {log, stream, clock, random, signal, send} = options;
-	let from = options.from as number;
-	let failures = 0;
+	let nextOffset = options.from as number;
+	let consecutiveFailures = 0;
 	let isAtEnd = false;
 
-	const readOnce = async (): Promise<void> => {
-		const waitUntil = isAtEnd ? addMilliseconds(clock.now(), longPollMs) : undefined;
-		const reading = await log.read({
-			stream, from: from as LogOffset, limit: readLimit, waitUntil, signal,
+	const readBatch = async (): Promise<void> => {
+		const waitUntil = isAtEnd ? addMilliseconds(clock.now(), longPollTimeoutMs) : undefined;
+		const result = await log.read({
+			stream, from: nextOffset as LogOffset, limit: readLimit, waitUntil, signal,
 		});
-		failures = 0;
-		if (reading.kind === 'trimmed') {
-			from = reading.earliest;
-			send({kind: 'trimmed', earliest: reading.earliest});
+		consecutiveFailures = 0;
+		if (result.kind === 'trimmed') {
+			nextOffset = result.earliest;
+			send({kind: 'trimmed', earliest: result.earliest});
 			return;
 		}
 
-		for (const record of reading.records) {
+		for (const record of result.records) {
 			send({kind: 'record', record});
 		}
 
-		from = Math.max(from, reading.next);
-		if (reading.records.length === 0) {
+		nextOffset = Math.max(nextOffset, result.next);
+		if (result.records.length === 0) {
 			isAtEnd = true;
 			send({kind: 'caught_up'});
 		}
@@ -64,20 +65,20 @@
 	while (!signal.aborted) {
 		try {
 			if (isAtEnd && options.getNextReading !== undefined) {
-				await waitQuietly(clock, options.getNextReading(), signal); // eslint-disable-line no-await-in-loop -- between readings
+				await waitQuietly(clock, options.getNextReading(), signal); // eslint-disable-line no-await-in-loop -- reads are sequential
 			}
 
-			await readOnce(); // eslint-disable-line no-await-in-loop -- each reading starts where the last ended
+			await readBatch(); // eslint-disable-line no-await-in-loop -- each read starts at the end of the previous one
 		} catch (error) {
 			if (signal.aborted) {
 				return;
 			}
 
 			send({kind: 'outage', error});
-			const delay = Math.min(longestRetryMs, firstRetryMs * (2 ** failures));
-			failures++;
-			// Spread over half the delay, so that all daemons do not return to the log at once.
-			await waitQuietly(clock, addMilliseconds(clock.now(), delay * (0.5 + (random() / 2))), signal); // eslint-disable-line no-await-in-loop
+			const delayMs = Math.min(maxRetryDelayMs, initialRetryDelayMs * (2 ** consecutiveFailures));
+			consecutiveFailures++;
+			// Waits between 50 % and 100 % of the delay, so that the daemons do not all retry at the same time.
+			await waitQuietly(clock, addMilliseconds(clock.now(), delayMs * (0.5 + (random() / 2))), signal); // eslint-disable-line no-await-in-loop
 		}
 	}
 };
--- a/packages/provider/src/http-log.ts
+++ b/packages/provider/src/http-log.ts
@@ -1,4 +1,4 @@
-/** The log service over HTTP. Nothing outside this file knows its format. */
+/** HTTP client of the log service. The wire format is used only in this file. */
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {type LogReadResult, type LogService, type ReadOptions} from '@shallotpass/common/log-service.js';
 import {type LogOffset} from '@shallotpass/common/types.js';
@@ -19,24 +19,24 @@
 
 type HttpLogOptions = {
 	readonly baseUrl: string;
-	/** Makes a pool of connections of its own. */
+	/** Creates a dispatcher with its own connection pool. */
 	readonly makeDispatcher: () => Dispatcher;
 	readonly now: () => number;
 };
 
-const unavailable = (detail: string, cause?: unknown): ServingError =>
+const makeUnavailableError = (detail: string, cause?: unknown): ServingError =>
 	new ServingError(`the log service ${detail}`, {kind: 'platform_unavailable', cause});
 
 const withTimeout = (signal: AbortSignal | undefined, timeoutMs: number): AbortSignal => {
-	const timeout = AbortSignal.timeout(timeoutMs);
-	return signal === undefined ? timeout : AbortSignal.any([signal, timeout]);
+	const timeoutSignal = AbortSignal.timeout(timeoutMs);
+	return signal === undefined ? timeoutSignal : AbortSignal.any([signal, timeoutSignal]);
 };
 
-const closeQuietly = async (dispatcher: Dispatcher): Promise<void> => {
+const closeIgnoringErrors = async (dispatcher: Dispatcher): Promise<void> => {
 	try {
 		await dispatcher.close();
 	} catch {
-		// It was destroyed meanwhile, which closes it too.
+		// It has been destroyed in the meantime, which also closes it.
 	}
 };
 
@@ -46,39 +46,39 @@
 	let dispatcher = makeDispatcher();
 
 	/**
-	 * Something between the ends may have lost track of every kept connection at once.
-	 * Were the pool kept, each of them would cost a time-out of its own; new connections
-	 * decide whether the log answers.
+	 * Replaces the connection pool after a failure. A firewall or NAT can drop all pooled connections
+	 * at once, and each of them would then cost a separate timeout. New connections show whether the
+	 * log is available.
 	 */
-	const replaceConnections = (failed: Dispatcher): void => {
-		if (failed === dispatcher) {
+	const replaceDispatcher = (failedDispatcher: Dispatcher): void => {
+		if (failedDispatcher === dispatcher) {
 			dispatcher = makeDispatcher();
-			void closeQuietly(failed);
+			void closeIgnoringErrors(failedDispatcher);
 		}
 	};
 
 	const makeUrl = (stream: string): URL => new URL(`streams/${encodeURIComponent(stream)}`, baseUrl.endsWith('/') ? baseUrl : `${baseUrl}/`);
 
-	const send = async (url: URL, options: Parameters<typeof request>[1]): Promise<{status: number; body: unknown}> => {
-		const used = dispatcher;
+	const sendRequest = async (url: URL, options: Parameters<typeof request>[1]): Promise<{status: number; body: unknown}> => {
+		const usedDispatcher = dispatcher;
 		try {
-			const response = await request(url, {...options, dispatcher: used});
+			const response = await request(url, {...options, dispatcher: usedDispatcher});
 			const text = await response.body.text();
-			const isJson = response.statusCode < 500 && response.statusCode !== 429;
-			return {status: response.statusCode, body: isJson ? JSON.parse(text) : undefined};
+			const hasJsonBody = response.statusCode < 500 && response.statusCode !== 429;
+			return {status: response.statusCode, body: hasJsonBody ? JSON.parse(text) : undefined};
 		} catch (error) {
-			// A reader that was told to stop says nothing about the connection.
+			// A read that the caller aborted does not indicate a broken connection.
 			if (!(error instanceof Error && error.name === 'AbortError')) {
-				replaceConnections(used);
+				replaceDispatcher(usedDispatcher);
 			}
 
-			throw unavailable('does not answer', error);
+			throw makeUnavailableError('does not answer', error);
 		}
 	};
 
 	return {
 		async append({stream, record, signal}) {
-			const reply = await send(makeUrl(stream), {
+			const reply = await sendRequest(makeUrl(stream), {
 				method: 'POST',
 				headers: {'content-type': 'application/json'},
 				body: JSON.stringify({record}),
@@ -86,7 +86,7 @@
 			});
 			const parsed = appendReplySchema.safeParse(reply.body);
 			if (reply.status >= 300 || !parsed.success) {
-				throw unavailable(`answered an append with status ${reply.status}`);
+				throw makeUnavailableError(`answered an append with status ${reply.status}`);
 			}
 
 			return parsed.data.offset as LogOffset;
@@ -97,7 +97,7 @@
 			url.searchParams.set('from', String(from));
 			url.searchParams.set('limit', String(limit));
 			url.searchParams.set('waitMs', String(waitMs));
-			const reply = await send(url, {method: 'GET', signal: withTimeout(signal, waitMs + readTimeoutMs)});
+			const reply = await sendRequest(url, {method: 'GET', signal: withTimeout(signal, waitMs + readTimeoutMs)});
 			if (reply.status === 410) {
 				const trimmed = trimmedReplySchema.safeParse(reply.body);
 				if (trimmed.success) {
@@ -107,7 +107,7 @@
 
 			const parsed = readReplySchema.safeParse(reply.body);
 			if (reply.status >= 300 || !parsed.success) {
-				throw unavailable(`answered a read with status ${reply.status}`);
+				throw makeUnavailableError(`answered a read with status ${reply.status}`);
 			}
 
 			return {
--- a/packages/provider/src/instance-list-client.ts
+++ b/packages/provider/src/instance-list-client.ts
@@ -1,4 +1,7 @@
-/** The platform's instance list over HTTP. It lags; the last one read stays in use while it cannot be reached. */
+/**
+ * HTTP client of the platform's instance list. The list can be out of date. While it cannot be read,
+ * the last version stays in use.
+ */
 import {type Clock, waitQuietly} from '@shallotpass/common/clock.js';
 import {instanceListSchema, type InstanceList} from '@shallotpass/common/instance-list.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
@@ -16,25 +19,26 @@
 	| {readonly kind: 'list'; readonly list: InstanceList}
 	| {readonly kind: 'outage'; readonly error: unknown};
 
-const readEveryMs = 500;
+const readIntervalMs = 500;
 const readTimeoutMs = 3000;
 
 export const readInstanceList = async (baseUrl: string, dispatcher: Dispatcher, signal?: AbortSignal): Promise<InstanceList> => {
 	const url = new URL('instances', baseUrl.endsWith('/') ? baseUrl : `${baseUrl}/`);
-	const timeout = AbortSignal.timeout(readTimeoutMs);
-	const response = await request(url, {dispatcher, signal: signal === undefined ? timeout : AbortSignal.any([signal, timeout])});
+	const timeoutSignal = AbortSignal.timeout(readTimeoutMs);
+	const response = await request(url, {dispatcher, signal: signal === undefined ? timeoutSignal : AbortSignal.any([signal, timeoutSignal])});
 	const body: unknown = await response.body.json();
 	return instanceListSchema.parse(body);
 };
 
+/** Reads the list at a fixed interval until the signal is aborted, and sends each newer version to `send`. */
 export const followInstanceList = async ({baseUrl, dispatcher, clock, signal, send}: FollowListOptions): Promise<void> => {
-	let version: number | undefined;
+	let latestVersion: number | undefined;
 	while (!signal.aborted) {
 		try {
-			const list = await readInstanceList(baseUrl, dispatcher, signal); // eslint-disable-line no-await-in-loop -- one reading after the other
-			// A list that is served by a lagging copy can be older than the last one.
-			if (version === undefined || list.version > version) {
-				version = list.version;
+			const list = await readInstanceList(baseUrl, dispatcher, signal); // eslint-disable-line no-await-in-loop -- reads are sequential
+			// A replica that lags behind can return an older version than the last one read.
+			if (latestVersion === undefined || list.version > latestVersion) {
+				latestVersion = list.version;
 				send({kind: 'list', list});
 			}
 		} catch (error) {
@@ -45,6 +49,6 @@
 			send({kind: 'outage', error});
 		}
 
-		await waitQuietly(clock, addMilliseconds(clock.now(), readEveryMs), signal); // eslint-disable-line no-await-in-loop
+		await waitQuietly(clock, addMilliseconds(clock.now(), readIntervalMs), signal); // eslint-disable-line no-await-in-loop
 	}
 };
--- a/packages/provider/src/memory-log.ts
+++ b/packages/provider/src/memory-log.ts
@@ -1,34 +1,34 @@
-/** A log in memory: the embedded platform of a daemon on its own, and the heart of the log stand-in. */
+/** In-memory log for a daemon that runs without a platform, and for the test server of the log service. */
 import {type Clock} from '@shallotpass/common/clock.js';
 import {type LogRecord, type LogService, type ReadOptions} from '@shallotpass/common/log-service.js';
 import {type LogOffset} from '@shallotpass/common/types.js';
 
 type MemoryStream = {
 	records: LogRecord[];
-	/** Offset of the first record that is kept. */
+	/** Offset of the first record that has not been trimmed. */
 	earliest: number;
 	readonly waiters: Set<() => void>;
 };
 
 export type MemoryLog = LogService & {
-	/** Forgets the records before the offset. */
+	/** Deletes the records before the offset. */
 	readonly trim: (stream: string, earliest: number) => void;
 	readonly countAppends: () => number;
 	readonly listStreams: () => string[];
-	/** Every record of the stream that is kept. */
+	/** Returns all records of the stream that have not been trimmed. */
 	readonly dump: (stream: string) => readonly LogRecord[];
 };
 
-const getNext = (stream: MemoryStream): number => stream.earliest + stream.records.length;
+const getNextOffset = (stream: MemoryStream): number => stream.earliest + stream.records.length;
 
 export const makeMemoryLog = (clock: Clock): MemoryLog => {
 	const streams = new Map<string, MemoryStream>();
-	let appends = 0;
+	let appendCount = 0;
 
-	const open = (name: string): MemoryStream => {
-		const known = streams.get(name);
-		if (known !== undefined) {
-			return known;
+	const getOrCreateStream = (name: string): MemoryStream => {
+		const existing = streams.get(name);
+		if (existing !== undefined) {
+			return existing;
 		}
 
 		const stream: MemoryStream = {records: [], earliest: 0, waiters: new Set()};
@@ -37,17 +37,17 @@
 	};
 
 	const waitForRecord = async (stream: MemoryStream, options: ReadOptions): Promise<void> => {
-		const ended = new AbortController();
+		const waitController = new AbortController();
 		const wake = () => {
-			ended.abort();
+			waitController.abort();
 		};
 
 		stream.waiters.add(wake);
 		options.signal?.addEventListener('abort', wake, {once: true});
 		try {
-			await clock.waitUntil(options.waitUntil!, ended.signal);
+			await clock.waitUntil(options.waitUntil!, waitController.signal);
 		} catch {
-			// Woken by a record or by the reader's own signal.
+			// A new record was appended or the reader's signal was aborted.
 		} finally {
 			stream.waiters.delete(wake);
 			options.signal?.removeEventListener('abort', wake);
@@ -56,9 +56,9 @@
 
 	return {
 		async append({stream: name, record}) {
-			const stream = open(name);
-			const offset = getNext(stream) as LogOffset;
-			appends++;
+			const stream = getOrCreateStream(name);
+			const offset = getNextOffset(stream) as LogOffset;
+			appendCount++;
 			stream.records.push({offset, appendedAt: clock.now(), record: structuredClone(record)});
 			for (const wake of stream.waiters) {
 				wake();
@@ -67,12 +67,12 @@
 			return offset;
 		},
 		async read(options) {
-			const stream = open(options.stream);
+			const stream = getOrCreateStream(options.stream);
 			if (options.from < stream.earliest) {
 				return {kind: 'trimmed', earliest: stream.earliest as LogOffset};
 			}
 
-			if (options.from >= getNext(stream) && options.waitUntil !== undefined && options.waitUntil > clock.now() && options.signal?.aborted !== true) {
+			if (options.from >= getNextOffset(stream) && options.waitUntil !== undefined && options.waitUntil > clock.now() && options.signal?.aborted !== true) {
 				await waitForRecord(stream, options);
 			}
 
@@ -85,16 +85,16 @@
 			return {kind: 'records', records, next: (options.from + records.length) as LogOffset};
 		},
 		trim(name, earliest) {
-			const stream = open(name);
-			const end = Math.min(earliest, getNext(stream));
+			const stream = getOrCreateStream(name);
+			const end = Math.min(earliest, getNextOffset(stream));
 			const count = end - stream.earliest;
 			if (count > 0) {
 				stream.records = stream.records.slice(count);
 				stream.earliest = end;
 			}
 		},
-		countAppends: () => appends,
+		countAppends: () => appendCount,
 		listStreams: () => [...streams.keys()],
-		dump: name => open(name).records,
+		dump: name => getOrCreateStream(name).records,
 	};
 };
