--- a/packages/peers/src/handshake.ts
+++ b/packages/peers/src/handshake.ts
@@ -1,15 +1,15 @@
-/** The first lines of a peer connection, in both roles. */
+/** Mutual authentication at the start of a peer connection, for the client and the server. */
 import {randomBytes} from 'node:crypto';
 import * as z from 'zod';
 import {
-	isSameText,
-	makeLineOpener,
-	makeLineSealer,
+	isTimingSafeEqual,
+	makeLineVerifier,
+	makeLineSigner,
 	makeProof,
 	makeSessionKey,
 	nonceBytes,
-	type LineOpener,
-	type LineSealer,
+	type LineVerifier,
+	type LineSigner,
 } from './secure-lines.js';
 
 const helloSchema = z.object({id: z.string().min(1), nonce: z.string().min(16)});
@@ -18,8 +18,8 @@
 
 export type SecureSession = {
 	readonly peerId: string;
-	readonly seal: LineSealer;
-	readonly open: LineOpener;
+	readonly sign: LineSigner;
+	readonly verify: LineVerifier;
 };
 
 export type HandshakeStep =
@@ -28,8 +28,8 @@
 	| {readonly kind: 'refused'; readonly reason: string};
 
 export type Handshake = {
-	/** The line to send first, for the end that speaks first. */
-	readonly opening?: string;
+	/** First line to send. Only the client has one. */
+	readonly firstLine?: string;
 	readonly receive: (line: string) => HandshakeStep;
 };
 
@@ -41,42 +41,42 @@
 	}
 };
 
-const encodeLine = (value: unknown): string => `${JSON.stringify(value)}\n`;
+const serializeLine = (value: unknown): string => `${JSON.stringify(value)}\n`;
 
 const makeNonce = (): string => randomBytes(nonceBytes).toString('base64url');
 
-/** The connecting end: the first key signs; whichever key the server proves is used. */
+/** Makes the client's side of the handshake. It uses the shared key that the server has proven to hold. */
 export const makeClientHandshake = (clientId: string, keys: readonly string[]): Handshake => {
 	const clientNonce = makeNonce();
 	return {
-		opening: encodeLine({id: clientId, nonce: clientNonce}),
+		firstLine: serializeLine({id: clientId, nonce: clientNonce}),
 		receive(line) {
 			const welcome = parseLine(welcomeSchema, line);
 			if (welcome === undefined) {
 				return {kind: 'refused', reason: 'the peer does not speak this protocol'};
 			}
 
-			const names = {
+			const transcript = {
 				clientId, clientNonce, serverId: welcome.id, serverNonce: welcome.nonce,
 			};
-			const key = keys.find(candidate => isSameText(welcome.proof, makeProof({key: candidate, role: 'server', ...names})));
+			const key = keys.find(candidate => isTimingSafeEqual(welcome.proof, makeProof({key: candidate, role: 'server', ...transcript})));
 			if (key === undefined) {
 				return {kind: 'refused', reason: 'the peer does not hold a shared key'};
 			}
 
-			const sessionKey = makeSessionKey({key, ...names});
+			const sessionKey = makeSessionKey({key, ...transcript});
 			return {
 				kind: 'reply',
-				line: encodeLine({proof: makeProof({key, role: 'client', ...names})}),
-				session: {peerId: welcome.id, seal: makeLineSealer(sessionKey, 'client'), open: makeLineOpener(sessionKey, 'server')},
+				line: serializeLine({proof: makeProof({key, role: 'client', ...transcript})}),
+				session: {peerId: welcome.id, sign: makeLineSigner(sessionKey, 'client'), verify: makeLineVerifier(sessionKey, 'server')},
 			};
 		},
 	};
 };
 
 /**
- * The accepting end proves the first key that it lists. While keys change every
- * daemon lists both, so that either end's first key is known to the other.
+ * Makes the server's side of the handshake. The server proves that it holds the first key of its list.
+ * During a key rotation every daemon lists both keys, so that each one knows the other's first key.
  */
 export const makeServerHandshake = (serverId: string, keys: readonly string[]): Handshake => {
 	const serverNonce = makeNonce();
@@ -84,13 +84,13 @@
 	const receiveHello = (line: string): HandshakeStep => {
 		hello = parseLine(helloSchema, line);
 		if (hello === undefined || keys[0] === undefined) {
-			return {kind: 'refused', reason: hello === undefined ? 'the peer does not speak this protocol' : 'no shared key is set'};
+			return {kind: 'refused', reason: hello === undefined ? 'the peer does not speak this protocol' : 'no shared key is configured'};
 		}
 
-		const names = {
+		const transcript = {
 			clientId: hello.id, clientNonce: hello.nonce, serverId, serverNonce,
 		};
-		return {kind: 'reply', line: encodeLine({id: serverId, nonce: serverNonce, proof: makeProof({key: keys[0], role: 'server', ...names})})};
+		return {kind: 'reply', line: serializeLine({id: serverId, nonce: serverNonce, proof: makeProof({key: keys[0], role: 'server', ...transcript})})};
 	};
 
 	return {
@@ -99,19 +99,19 @@
 				return receiveHello(line);
 			}
 
-			const names = {
+			const transcript = {
 				clientId: hello.id, clientNonce: hello.nonce, serverId, serverNonce,
 			};
-			const answer = parseLine(proofSchema, line);
-			const key = keys.find(candidate => answer !== undefined && isSameText(answer.proof, makeProof({key: candidate, role: 'client', ...names})));
+			const clientProof = parseLine(proofSchema, line);
+			const key = keys.find(candidate => clientProof !== undefined && isTimingSafeEqual(clientProof.proof, makeProof({key: candidate, role: 'client', ...transcript})));
 			if (key === undefined) {
 				return {kind: 'refused', reason: 'the peer does not hold a shared key'};
 			}
 
-			const sessionKey = makeSessionKey({key, ...names});
+			const sessionKey = makeSessionKey({key, ...transcript});
 			return {
 				kind: 'done',
-				session: {peerId: hello.id, seal: makeLineSealer(sessionKey, 'server'), open: makeLineOpener(sessionKey, 'client')},
+				session: {peerId: hello.id, sign: makeLineSigner(sessionKey, 'server'), verify: makeLineVerifier(sessionKey, 'client')},
 			};
 		},
 	};
--- a/packages/peers/src/line-reader.ts
+++ b/packages/peers/src/line-reader.ts
@@ -1,26 +1,26 @@
 import {StringDecoder} from 'node:string_decoder';
 
-/** Longest line a peer may send; a configuration offer of several teams fits. */
-export const longestLineCharacters = 16 * 1024 * 1024;
+/** Maximum length of a line from a peer, large enough for the configurations of several teams. */
+export const maxLineCharacters = 16 * 1024 * 1024;
 
-/** Splits what arrives into lines; throws a RangeError when a line grows past the bound. */
-export const makeLineReader = (onLine: (line: string) => void, longest = longestLineCharacters): ((chunk: Uint8Array) => void) => {
+/** Makes a function that splits received bytes into lines. It throws a RangeError if a line exceeds the maximum length. */
+export const makeLineReader = (onLine: (line: string) => void, maxCharacters = maxLineCharacters): ((chunk: Uint8Array) => void) => {
 	const decoder = new StringDecoder('utf8');
-	let parts: string[] = [];
-	let length = 0;
+	let pendingParts: string[] = [];
+	let pendingCharacters = 0;
 	return chunk => {
-		const pieces = decoder.write(chunk).split('\n');
-		for (const [index, piece] of pieces.entries()) {
-			parts.push(piece);
-			length += piece.length;
-			if (length > longest) {
-				throw new RangeError(`a line is longer than ${longest} characters`);
+		const segments = decoder.write(chunk).split('\n');
+		for (const [index, segment] of segments.entries()) {
+			pendingParts.push(segment);
+			pendingCharacters += segment.length;
+			if (pendingCharacters > maxCharacters) {
+				throw new RangeError(`a line is longer than ${maxCharacters} characters`);
 			}
 
-			if (index < pieces.length - 1) {
-				const line = parts.join('');
-				parts = [];
-				length = 0;
+			if (index < segments.length - 1) {
+				const line = pendingParts.join('');
+				pendingParts = [];
+				pendingCharacters = 0;
 				onLine(line);
 			}
 		}
--- a/packages/peers/src/peer-client.ts
+++ b/packages/peers/src/peer-client.ts
@@ -1,17 +1,17 @@
-/** Asks peers; keeps one connection to each and replaces one that has gone silent. */
+/** Sends requests to peers. Keeps one connection per peer and replaces it if it stops responding. */
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
-import {type ByteCount, connectPeer, type PeerConnection} from './peer-connection.js';
+import {type ByteCounts, connectPeer, type PeerConnection} from './peer-connection.js';
 import {
 	peerMethods, type PeerMethod, type PeerParameters, type PeerResult,
 } from './peer-methods.js';
 
 export type PeerClient = {
-	/** Asks the peer at the address; the answer is checked against the method's schema. */
+	/** Sends a request to the peer at the address and validates the response against the method's schema. */
 	readonly ask: <Method extends PeerMethod>(address: string, method: Method, parameters: PeerParameters<Method>, deadline: Deadline) => Promise<PeerResult<Method>>;
-	/** Closes the connection to a peer that is gone. */
+	/** Closes the connection to a peer that has left. */
 	readonly forget: (address: string) => void;
-	readonly bytes: Readonly<ByteCount>;
+	readonly bytes: Readonly<ByteCounts>;
 };
 
 type PeerClientOptions = {
@@ -22,22 +22,22 @@
 	readonly signal: AbortSignal;
 };
 
-/** Part of the time left that the first try may use; the rest is for a new connection. */
-const firstTryShare = 0.5;
+/** Share of the remaining time for the attempt on an existing connection. The rest is left for a new connection. */
+const firstAttemptTimeShare = 0.5;
 
 export const makePeerClient = ({selfId, localAddress, keys, now, signal}: PeerClientOptions): PeerClient => {
 	const connections = new Map<string, Promise<PeerConnection>>();
-	const bytes: ByteCount = {sent: 0, received: 0};
+	const bytes: ByteCounts = {sent: 0, received: 0};
 
-	const open = async (address: string, deadline: Deadline): Promise<PeerConnection> => {
-		const opening = connectPeer({
+	const openConnection = async (address: string, deadline: Deadline): Promise<PeerConnection> => {
+		const connecting = connectPeer({
 			address, selfId, localAddress, keys, deadline, bytes, now, signal,
 		});
-		connections.set(address, opening);
+		connections.set(address, connecting);
 		try {
-			return await opening;
+			return await connecting;
 		} catch (error) {
-			if (connections.get(address) === opening) {
+			if (connections.get(address) === connecting) {
 				connections.delete(address);
 			}
 
@@ -45,18 +45,18 @@
 		}
 	};
 
-	const close = async (address: string): Promise<void> => {
-		const opening = connections.get(address);
+	const closeConnection = async (address: string): Promise<void> => {
+		const connecting = connections.get(address);
 		connections.delete(address);
 		try {
-			const connection = await opening;
+			const connection = await connecting;
 			connection?.close();
 		} catch {
-			// It was never open.
+			// The connection was never established.
 		}
 	};
 
-	const findOpen = async (address: string): Promise<PeerConnection | undefined> => {
+	const findOpenConnection = async (address: string): Promise<PeerConnection | undefined> => {
 		try {
 			const connection = await connections.get(address);
 			return connection?.isOpen() ? connection : undefined;
@@ -66,28 +66,28 @@
 	};
 
 	/**
-	 * Something between the ends can lose track of an open connection, which then
-	 * stays silent for good while new ones work. The first try over a kept
-	 * connection gets half of the time; after that a new one decides. Every method
-	 * may arrive twice without harm.
+	 * Sends the request on the existing connection and, if that fails, once more on a new connection.
+	 * A firewall or NAT can drop an open connection without notifying either end, while new connections
+	 * still work. The first attempt may therefore use only half of the time. Sending a request twice is
+	 * safe because all peer methods are idempotent.
 	 */
-	const requestTwice = async (address: string, method: string, parameters: unknown, deadline: Deadline): Promise<unknown> => {
-		const kept = await findOpen(address);
-		if (kept !== undefined) {
+	const requestWithReconnect = async (address: string, method: string, parameters: unknown, deadline: Deadline): Promise<unknown> => {
+		const existing = await findOpenConnection(address);
+		if (existing !== undefined) {
 			try {
-				return await kept.request(method, parameters, addMilliseconds(now(), (deadline - now()) * firstTryShare));
+				return await existing.request(method, parameters, addMilliseconds(now(), (deadline - now()) * firstAttemptTimeShare));
 			} catch {
-				await close(address);
+				await closeConnection(address);
 			}
 		}
 
-		const fresh = await open(address, deadline);
-		return fresh.request(method, parameters, deadline);
+		const replacement = await openConnection(address, deadline);
+		return replacement.request(method, parameters, deadline);
 	};
 
 	return {
 		async ask(address, method, parameters, deadline) {
-			const reply = await requestTwice(address, method, parameters, deadline);
+			const reply = await requestWithReconnect(address, method, parameters, deadline);
 			const result = peerMethods[method].result.safeParse(reply);
 			if (!result.success) {
 				throw new ServingError(`peer ${address} answered ${method} with something else`, {kind: 'platform_unavailable'});
@@ -96,7 +96,7 @@
 			return result.data as never;
 		},
 		forget(address) {
-			void close(address);
+			void closeConnection(address);
 		},
 		bytes,
 	};
--- a/packages/peers/src/peer-connection.ts
+++ b/packages/peers/src/peer-connection.ts
@@ -1,4 +1,4 @@
-/** One connection to a peer, from the connecting end. */
+/** Client side of a connection to a peer. */
 import {type Socket, connect} from 'node:net';
 import {type Deadline} from '@shallotpass/common/types.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
@@ -6,7 +6,7 @@
 import {makeClientHandshake, type SecureSession} from './handshake.js';
 import {makeLineReader} from './line-reader.js';
 
-export type ByteCount = {
+export type ByteCounts = {
 	sent: number;
 	received: number;
 };
@@ -21,11 +21,11 @@
 export type ConnectOptions = {
 	readonly address: string;
 	readonly selfId: string;
-	/** Own IP address, which the connection is made from. */
+	/** Local IP address to connect from. */
 	readonly localAddress: string;
 	readonly keys: readonly string[];
 	readonly deadline: Deadline;
-	readonly bytes: ByteCount;
+	readonly bytes: ByteCounts;
 	readonly now: () => number;
 	readonly signal: AbortSignal;
 };
@@ -38,12 +38,12 @@
 	};
 };
 
-const unreachable = (address: string, detail: string): ServingError =>
+const makeUnreachableError = (address: string, detail: string): ServingError =>
 	new ServingError(`peer ${address} ${detail}`, {kind: 'platform_unavailable'});
 
 const makeConnection = (socket: Socket, session: SecureSession, options: ConnectOptions): {connection: PeerConnection; receive: (line: string) => void} => {
 	const client = new JSONRPCClient(payload => {
-		const line = session.seal(JSON.stringify(payload));
+		const line = session.sign(JSON.stringify(payload));
 		options.bytes.sent += line.length;
 		socket.write(line);
 	});
@@ -56,17 +56,17 @@
 			isOpen: () => !socket.destroyed,
 			async request(method, parameters, deadline) {
 				const timeoutMs = Math.max(1, deadline - options.now());
-				const answer: unknown = await client.timeout(timeoutMs).request(method, parameters);
-				return answer;
+				const result: unknown = await client.timeout(timeoutMs).request(method, parameters);
+				return result;
 			},
 			close() {
 				socket.destroy();
 			},
 		},
 		receive(line) {
-			const payload = session.open(line);
+			const payload = session.verify(line);
 			if (payload === undefined) {
-				// Someone between the ends alters or repeats lines; nothing that follows can be trusted.
+				// The line was altered or replayed, so the connection is no longer trusted.
 				socket.destroy();
 				return;
 			}
@@ -76,7 +76,7 @@
 	};
 };
 
-/** Connects and proves the shared key; rejects when that is not done by the deadline. */
+/** Connects to a peer and completes the handshake. Rejects if this fails or takes longer than the deadline. */
 export const connectPeer = async (options: ConnectOptions): Promise<PeerConnection> => new Promise((resolve, reject) => {
 	const socket = connect({...splitAddress(options.address), localAddress: options.localAddress, noDelay: true});
 	const handshake = makeClientHandshake(options.selfId, options.keys);
@@ -85,26 +85,26 @@
 	const fail = (detail: string): void => {
 		clearTimeout(timer);
 		socket.destroy();
-		reject(unreachable(options.address, detail));
+		reject(makeUnreachableError(options.address, detail));
 	};
 
 	const timer = setTimeout(() => {
 		fail('did not shake hands in time');
 	}, Math.max(1, options.deadline - options.now()));
-	const end = () => {
+	const destroySocket = () => {
 		socket.destroy();
 	};
 
-	options.signal.addEventListener('abort', end, {once: true});
+	options.signal.addEventListener('abort', destroySocket, {once: true});
 	socket.once('close', () => {
-		options.signal.removeEventListener('abort', end);
+		options.signal.removeEventListener('abort', destroySocket);
 		fail('closed the connection');
 	});
 	socket.on('error', error => {
 		fail(error.message);
 	});
 
-	const shakeHands = (line: string): void => {
+	const handleHandshakeLine = (line: string): void => {
 		const step = handshake.receive(line);
 		if (step.kind !== 'reply' || step.session === undefined) {
 			fail(step.kind === 'refused' ? `was refused: ${step.reason}` : 'answered out of turn');
@@ -113,14 +113,14 @@
 
 		options.bytes.sent += step.line.length;
 		socket.write(step.line);
-		const made = makeConnection(socket, step.session, options);
-		receive = made.receive;
+		const established = makeConnection(socket, step.session, options);
+		receive = established.receive;
 		clearTimeout(timer);
-		resolve(made.connection);
+		resolve(established.connection);
 	};
 
 	const readLines = makeLineReader(line => {
-		(receive ?? shakeHands)(line);
+		(receive ?? handleHandshakeLine)(line);
 	});
 	socket.on('data', chunk => {
 		options.bytes.received += chunk.length;
@@ -130,6 +130,6 @@
 			fail(error instanceof Error ? error.message : 'sent what cannot be read');
 		}
 	});
-	options.bytes.sent += handshake.opening!.length;
-	socket.write(handshake.opening!);
+	options.bytes.sent += handshake.firstLine!.length;
+	socket.write(handshake.firstLine!);
 });
--- a/packages/peers/src/peer-link.test.ts
+++ b/packages/peers/src/peer-link.test.ts
@@ -12,7 +12,7 @@
 const keyA = 'the first shared key';
 const keyB = 'the second shared key';
 
-const soon = (): Deadline => (Date.now() + 2000) as Deadline;
+const makeDeadline = (): Deadline => (Date.now() + 2000) as Deadline;
 
 const handlers = {
 	status: () => ({availabilityZone: 'zone-1', versions: {default: 3}}),
@@ -20,7 +20,7 @@
 
 const startServer = async (t: TestContext, keys: readonly string[]): Promise<PeerServer> => {
 	const server = await startPeerServer({
-		listen: '127.0.0.1:0', selfId: 'server', keys, handlers, onRefused() {/* counted by the server */},
+		listen: '127.0.0.1:0', selfId: 'server', keys, handlers, onRefused() {/* the server counts refusals */},
 	});
 	t.after(async () => server.close());
 	return server;
@@ -48,62 +48,63 @@
 		name: 'the same key', client: [keyA], server: [keyA], isAccepted: true,
 	},
 	{
-		name: 'both keys, listed in another order', client: [keyA, keyB], server: [keyB, keyA], isAccepted: true,
+		name: 'both keys in a different order', client: [keyA, keyB], server: [keyB, keyA], isAccepted: true,
 	},
 	{
-		name: 'a client that still knows only the old key, which the server lists first', client: [keyA], server: [keyA, keyB], isAccepted: true,
+		name: 'only the old key, which the server lists first,', client: [keyA], server: [keyA, keyB], isAccepted: true,
 	},
 	{
-		name: 'different keys', client: [keyA], server: [keyB], isAccepted: false,
+		name: 'a different key', client: [keyA], server: [keyB], isAccepted: false,
 	},
 	{
-		name: 'no key at the server', client: [keyA], server: [], isAccepted: false,
+		name: 'a key, but a server without keys,', client: [keyA], server: [], isAccepted: false,
 	},
 ];
 
 for (const {name, client, server, isAccepted} of keyCases) {
-	test(`a peer with ${name} is ${isAccepted ? 'answered' : 'refused'}`, async t => {
+	test(`a client with ${name} is ${isAccepted ? 'answered' : 'refused'}`, async t => {
 		const {address} = await startServer(t, server);
-		const asking = startClient(t, client).ask(address, 'status', {}, soon());
+		const pendingResult = startClient(t, client).ask(address, 'status', {}, makeDeadline());
 		if (isAccepted) {
-			assert.equal((await asking).versions.default, 3); // eslint-disable-line unicorn/no-await-expression-member -- one look
+			assert.equal((await pendingResult).versions.default, 3); // eslint-disable-line unicorn/no-await-expression-member -- a single read
 		} else {
-			await assert.rejects(asking);
+			await assert.rejects(pendingResult);
 		}
 	});
 }
 
-type Middle = {
+type TamperingProxy = {
 	readonly address: string;
-	/** Changes what flows from the client from now on. */
-	change: (chunk: Uint8Array) => readonly Uint8Array[];
+	/** Transforms the chunks that the client sends. */
+	transform: (chunk: Uint8Array) => readonly Uint8Array[];
+	/** Whether chunks on the first connection are dropped. */
 	isSilent: boolean;
 	readonly connections: Socket[];
 };
 
-/** Something between the ends that can alter, repeat or swallow what flows through it. */
-const startMiddle = async (t: TestContext, target: string): Promise<Middle> => {
+/** Starts a TCP proxy that can alter, repeat or drop the data that clients send. */
+const startTamperingProxy = async (t: TestContext, target: string): Promise<TamperingProxy> => {
 	const sockets: Socket[] = [];
-	const server = createServer(near => {
+	const server = createServer(clientSocket => {
 		const [host, port] = target.split(':');
-		const far = connect(Number(port), host);
-		sockets.push(near, far);
-		middle.connections.push(near);
-		const own = middle.connections.length;
-		near.on('data', chunk => {
-			if (middle.isSilent && own === 1) {
+		const serverSocket = connect(Number(port), host);
+		sockets.push(clientSocket, serverSocket);
+		proxy.connections.push(clientSocket);
+		const connectionNumber = proxy.connections.length;
+		clientSocket.on('data', chunk => {
+			if (proxy.isSilent && connectionNumber === 1) {
 				return;
 			}
 
-			for (const piece of middle.change(chunk)) {
-				far.write(piece);
+			for (const part of proxy.transform(chunk)) {
+				serverSocket.write(part);
 			}
 		});
-		far.on('data', chunk => near.write(chunk));
-		for (const [one, other] of [[near, far], [far, near]] as const) {
-			one.on('error', () => {/* the test closes both */});
-			one.on('close', () => {
-				other.destroy();
+		serverSocket.on('data', chunk => clientSocket.write(chunk));
+		for (const [source, destination] of [[clientSocket, serverSocket], [serverSocket, clientSocket]] as const) {
+			source.on('error', () => {/* the test closes both */});
+			source.on('close', () => {
+				destination.destroy();
 			});
 		}
 	});
@@ -111,8 +112,8 @@
 		server.listen(0, '127.0.0.1', resolve);
 	});
 	const {port} = server.address() as {port: number};
-	const middle: Middle = {
-		address: `127.0.0.1:${port}`, change: chunk => [chunk], isSilent: false, connections: [],
+	const proxy: TamperingProxy = {
+		address: `127.0.0.1:${port}`, transform: chunk => [chunk], isSilent: false, connections: [],
 	};
 	t.after(() => {
 		for (const socket of sockets) {
@@ -121,7 +122,7 @@
 
 		server.close();
 	});
-	return middle;
+	return proxy;
 };
 
 type TamperCase = {readonly name: string; readonly change: (chunk: Uint8Array) => readonly Uint8Array[]};
@@ -132,53 +133,53 @@
 ];
 
 for (const {name, change} of tamperCases) {
-	test(`a message that is ${name} on its way is refused and its connection closed`, async t => {
-		// Someone on the network changes or records and resends what daemons tell each other. A
-		// repeated claim or an altered version would be acted upon if it were not noticed.
+	test(`a message that is ${name} in transit is refused and its connection is closed`, async t => {
+		// An attacker on the network alters or replays messages between daemons. Without this check,
+		// a daemon would act on a repeated claim or an altered version.
 		const server = await startServer(t, [keyA]);
-		const middle = await startMiddle(t, server.address);
+		const proxy = await startTamperingProxy(t, server.address);
 		const client = startClient(t, [keyA]);
-		await client.ask(middle.address, 'status', {}, soon());
+		await client.ask(proxy.address, 'status', {}, makeDeadline());
 		assert.equal(server.countRefusals(), 0);
-		middle.change = change;
+		proxy.transform = change;
 		const closed = new Promise(resolve => {
-			middle.connections[0]!.once('close', resolve);
+			proxy.connections[0]!.once('close', resolve);
 		});
-		await client.ask(middle.address, 'status', {}, (Date.now() + 400) as Deadline).catch(() => undefined); // eslint-disable-line promise/prefer-await-to-then -- either outcome is right
+		await client.ask(proxy.address, 'status', {}, (Date.now() + 400) as Deadline).catch(() => undefined); // eslint-disable-line promise/prefer-await-to-then -- the call may succeed or fail
 		await closed;
 		assert.ok(server.countRefusals() > 0);
 	});
 }
 
-test('a connection that has gone silent is replaced by a new one within the same question', async t => {
-	// A firewall between two zones forgets an open connection: nothing comes back on it any
-	// more, and neither end is told. Without a second connection the peer would look dead.
+test('a connection that stops responding is replaced within the same request', async t => {
+	// A firewall between two zones drops an open connection without notifying either end.
+	// Without a second connection, the peer would appear to be down.
 	const server = await startServer(t, [keyA]);
-	const middle = await startMiddle(t, server.address);
+	const proxy = await startTamperingProxy(t, server.address);
 	const client = startClient(t, [keyA]);
-	await client.ask(middle.address, 'status', {}, soon());
-	middle.isSilent = true;
-	const answer = await client.ask(middle.address, 'status', {}, soon());
+	await client.ask(proxy.address, 'status', {}, makeDeadline());
+	proxy.isSilent = true;
+	const answer = await client.ask(proxy.address, 'status', {}, makeDeadline());
 	assert.equal(answer.versions.default, 3);
-	assert.equal(middle.connections.length, 2);
+	assert.equal(proxy.connections.length, 2);
 });
 
-test('a recorded connection played again to the server is refused', async t => {
+test('a replayed connection is refused', async t => {
 	const server = await startServer(t, [keyA]);
-	const middle = await startMiddle(t, server.address);
+	const proxy = await startTamperingProxy(t, server.address);
 	const recorded: Uint8Array[] = [];
-	middle.change = chunk => {
+	proxy.transform = chunk => {
 		recorded.push(chunk);
 		return [chunk];
 	};
 
-	await startClient(t, [keyA]).ask(middle.address, 'status', {}, soon());
+	await startClient(t, [keyA]).ask(proxy.address, 'status', {}, makeDeadline());
 	const [host, port] = server.address.split(':');
 	const socket = connect(Number(port), host);
 	const closed = new Promise(resolve => {
 		socket.on('close', resolve);
 	});
-	socket.on('error', () => {/* it is cut off */});
+	socket.on('error', () => {/* the server closes the connection */});
 	for (const chunk of recorded) {
 		socket.write(chunk);
 	}
@@ -188,7 +189,7 @@
 	assert.equal(server.countRefusals(), 1);
 });
 
-test('lines come out whole however the bytes are cut', () => {
+test('lines are reassembled from chunks of any size', () => {
 	const lines = fc.array(fc.string({unit: 'grapheme', maxLength: 30}).filter(line => !line.includes('\n')), {maxLength: 10});
 	fc.assert(fc.property(lines, fc.array(fc.nat(200), {maxLength: 10}), (sent, cuts) => {
 		const bytes = new TextEncoder().encode(sent.map(line => `${line}\n`).join(''));
@@ -208,13 +209,13 @@
 		assert.deepEqual(received, sent.map(line => line.toWellFormed()));
 	}), {seed: 7});
 	assert.throws(() => {
-		makeLineReader(() => {/* none comes */}, 10)(new TextEncoder().encode('x'.repeat(11)));
+		makeLineReader(() => {/* no line is complete */}, 10)(new TextEncoder().encode('x'.repeat(11)));
 	}, RangeError);
 });
 
-test('each end refuses a handshake of noise', () => {
-	fc.assert(fc.property(fc.string(), noise => {
-		assert.equal(makeServerHandshake('server', [keyA]).receive(noise).kind, 'refused');
-		assert.equal(makeClientHandshake('client', [keyA]).receive(noise).kind, 'refused');
+test('client and server refuse a handshake of random text', () => {
+	fc.assert(fc.property(fc.string(), randomText => {
+		assert.equal(makeServerHandshake('server', [keyA]).receive(randomText).kind, 'refused');
+		assert.equal(makeClientHandshake('client', [keyA]).receive(randomText).kind, 'refused');
 	}), {seed: 7});
 });
--- a/packages/peers/src/peer-methods.ts
+++ b/packages/peers/src/peer-methods.ts
@@ -1,11 +1,11 @@
-/** What daemons ask of each other: one schema for the question and one for the answer of each method. */
+/** RPC methods between daemons, with the schemas of their parameters and results. */
 import {claimSchema, outcomeSchema, recordedAnswerSchema} from '@shallotpass/common/log-records.js';
 import {memberUpdateSchema} from '@shallotpass/core/membership/types.js';
 import * as z from 'zod';
 
 const versionsSchema = z.record(z.string(), z.number());
 
-const acceptedSchema = z.object({
+const acceptedConfigurationSchema = z.object({
 	team: z.string(),
 	version: z.int().nonnegative(),
 	id: z.string(),
@@ -51,10 +51,10 @@
 		parameters: z.object({updates: z.array(memberUpdateSchema), versions: versionsSchema, wantsIntroduction: z.boolean()}),
 		result: z.object({
 			updates: z.array(memberUpdateSchema),
-			/** All members, for one that was not known. */
+			/** Member list, for a sender that is not known yet or that asked for it; otherwise empty. */
 			introduction: z.array(memberUpdateSchema),
 			versions: versionsSchema,
-			/** Digest of the answering daemon's view of the members. */
+			/** Digest of the responding daemon's member list. */
 			view: z.number(),
 		}),
 	},
@@ -65,7 +65,7 @@
 	offer: {
 		parameters: z.object({}),
 		result: z.object({
-			accepted: z.array(acceptedSchema), history: z.array(historyEntrySchema), foldedTo: z.number(), isComplete: z.boolean(),
+			accepted: z.array(acceptedConfigurationSchema), history: z.array(historyEntrySchema), foldedTo: z.number(), isComplete: z.boolean(),
 		}),
 	},
 	status: {
@@ -76,7 +76,7 @@
 		parameters: z.object({
 			claim: claimSchema,
 			isNew: z.boolean(),
-			/** The asking daemon's span, so that a trace goes on in the peer. */
+			/** Trace context of the sender, so that the peer's spans belong to the same trace. */
 			traceparent: z.string().optional(),
 		}),
 		result: verdictSchema,
@@ -85,7 +85,7 @@
 		parameters: z.object({keyName: z.string(), outcome: outcomeSchema}),
 		result: z.object({isRecorded: z.boolean()}),
 	},
-	/** A backend server is about to be ended by the holder of its zone's fleet duty. */
+	/** Announces that the holder of the zone's fleet lease is about to end a backend server. */
 	leaving: {
 		parameters: z.object({backendId: z.string(), leavesAt: z.number()}),
 		result: z.object({}),
--- a/packages/peers/src/peer-server.ts
+++ b/packages/peers/src/peer-server.ts
@@ -1,16 +1,16 @@
-/** Answers peers. A peer that does not prove a shared key is cut off before it can ask anything. */
+/** Handles requests from peers. Closes connections whose handshake does not prove a shared key. */
 import {createServer, type Socket} from 'node:net';
 import {listenAt} from '@shallotpass/common/listen.js';
 import {JSONRPCServer} from 'json-rpc-2.0';
 import {makeServerHandshake, type SecureSession} from './handshake.js';
 import {makeLineReader} from './line-reader.js';
-import {type ByteCount, splitAddress} from './peer-connection.js';
+import {type ByteCounts, splitAddress} from './peer-connection.js';
 import {peerMethods, type PeerHandlers, type PeerMethod} from './peer-methods.js';
 
 export type PeerServer = {
 	readonly address: string;
-	readonly bytes: Readonly<ByteCount>;
-	/** Connections refused since the start, by reason. */
+	readonly bytes: Readonly<ByteCounts>;
+	/** Returns the number of connections refused since the start. */
 	readonly countRefusals: () => number;
 	readonly close: () => Promise<void>;
 };
@@ -23,15 +23,15 @@
 	readonly onRefused: (reason: string, remote: string) => void;
 };
 
-/** A connection that has not shaken hands by then is cut. */
-const handshakeWithinMs = 5000;
+/** A connection is closed if its handshake takes longer. */
+const handshakeTimeoutMs = 5000;
 
 const makeRpcServer = (handlers: PeerHandlers): JSONRPCServer<string> => {
-	const server = new JSONRPCServer<string>({errorListener() {/* the asking peer gets the error */}});
+	const server = new JSONRPCServer<string>({errorListener() {/* the error is sent to the peer */}});
 	for (const method of Object.keys(peerMethods) as PeerMethod[]) {
 		server.addMethod(method, async (parameters: unknown, from) => {
-			const checked = peerMethods[method].parameters.parse(parameters);
-			return handlers[method](checked as never, from);
+			const validated = peerMethods[method].parameters.parse(parameters);
+			return handlers[method](validated as never, from);
 		});
 	}
 
@@ -39,38 +39,38 @@
 };
 
 export const startPeerServer = async (options: PeerServerOptions): Promise<PeerServer> => {
-	const rpc = makeRpcServer(options.handlers);
-	const bytes: ByteCount = {sent: 0, received: 0};
+	const rpcServer = makeRpcServer(options.handlers);
+	const bytes: ByteCounts = {sent: 0, received: 0};
 	const sockets = new Set<Socket>();
-	let refusals = 0;
+	let refusalCount = 0;
 
-	const write = (socket: Socket, line: string): void => {
+	const writeLine = (socket: Socket, line: string): void => {
 		if (!socket.destroyed) {
 			bytes.sent += line.length;
 			socket.write(line);
 		}
 	};
 
-	const answer = async (socket: Socket, session: SecureSession, payload: string): Promise<void> => {
-		const response = await rpc.receiveJSON(payload, session.peerId);
+	const handleRequest = async (socket: Socket, session: SecureSession, payload: string): Promise<void> => {
+		const response = await rpcServer.receiveJSON(payload, session.peerId);
 		if (response !== null) {
-			write(socket, session.seal(JSON.stringify(response)));
+			writeLine(socket, session.sign(JSON.stringify(response)));
 		}
 	};
 
-	const serve = (socket: Socket): void => {
+	const handleConnection = (socket: Socket): void => {
 		const handshake = makeServerHandshake(options.selfId, options.keys);
 		let session: SecureSession | undefined;
 		const refuse = (reason: string): void => {
-			refusals++;
+			refusalCount++;
 			options.onRefused(reason, socket.remoteAddress ?? 'unknown');
 			socket.destroy();
 		};
 
 		const timer = setTimeout(() => {
-			refuse('no handshake in time');
-		}, handshakeWithinMs);
-		const shakeHands = (line: string): void => {
+			refuse('the handshake timed out');
+		}, handshakeTimeoutMs);
+		const handleHandshakeLine = (line: string): void => {
 			const step = handshake.receive(line);
 			if (step.kind === 'refused') {
 				refuse(step.reason);
@@ -78,7 +78,7 @@
 			}
 
 			if (step.kind === 'reply') {
-				write(socket, step.line);
+				writeLine(socket, step.line);
 				return;
 			}
 
@@ -92,17 +92,17 @@
 			}
 
 			if (session === undefined) {
-				shakeHands(line);
+				handleHandshakeLine(line);
 				return;
 			}
 
-			const payload = session.open(line);
+			const payload = session.verify(line);
 			if (payload === undefined) {
-				refuse('a line that is altered, repeated or of another connection');
+				refuse('a line was altered, repeated or belongs to another connection');
 				return;
 			}
 
-			void answer(socket, session, payload);
+			void handleRequest(socket, session, payload);
 		});
 		sockets.add(socket);
 		socket.setNoDelay(true);
@@ -118,17 +118,17 @@
 			try {
 				readLines(chunk);
 			} catch (error) {
-				refuse(error instanceof Error ? error.message : 'what cannot be read');
+				refuse(error instanceof Error ? error.message : 'the data cannot be parsed');
 			}
 		});
 	};
 
-	const server = createServer(serve);
+	const server = createServer(handleConnection);
 	const address = await listenAt(server, splitAddress(options.listen));
 	return {
 		address,
 		bytes,
-		countRefusals: () => refusals,
+		countRefusals: () => refusalCount,
 		async close() {
 			for (const socket of sockets) {
 				socket.destroy();
--- a/packages/peers/src/secure-lines.test.ts
+++ b/packages/peers/src/secure-lines.test.ts
@@ -1,27 +1,27 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import {makeLineOpener, makeLineSealer, makeSessionKey} from './secure-lines.js';
+import {makeLineVerifier, makeLineSigner, makeSessionKey} from './secure-lines.js';
 
-const names = {
+const transcript = {
 	clientId: 'a', clientNonce: 'nonce-of-the-client', serverId: 'b', serverNonce: 'nonce-of-the-server',
 };
-const sessionKey = makeSessionKey({key: 'a shared key of the peers', ...names});
+const sessionKey = makeSessionKey({key: 'a shared key of the peers', ...transcript});
 
-test('lines in order are opened', () => {
+test('lines in order are verified', () => {
 	fc.assert(fc.property(fc.array(fc.string(), {maxLength: 10}), payloads => {
-		const seal = makeLineSealer(sessionKey, 'client');
-		const open = makeLineOpener(sessionKey, 'client');
-		assert.deepEqual(payloads.map(payload => open(seal(payload).slice(0, -1))), payloads);
+		const sign = makeLineSigner(sessionKey, 'client');
+		const verify = makeLineVerifier(sessionKey, 'client');
+		assert.deepEqual(payloads.map(payload => verify(sign(payload).slice(0, -1))), payloads);
 	}), {seed: 7});
 });
 
-test('a line out of order, of the other direction or of another connection is not opened', () => {
-	const seal = makeLineSealer(sessionKey, 'client');
-	const first = seal('first').slice(0, -1);
-	const second = seal('second').slice(0, -1);
-	assert.equal(makeLineOpener(sessionKey, 'client')(second), undefined);
-	assert.equal(makeLineOpener(sessionKey, 'server')(first), undefined);
-	const otherKey = makeSessionKey({key: 'a shared key of the peers', ...names, serverNonce: 'a different nonce'});
-	assert.equal(makeLineOpener(otherKey, 'client')(first), undefined);
+test('a line that is out of order, from the other direction or from another connection is rejected', () => {
+	const sign = makeLineSigner(sessionKey, 'client');
+	const first = sign('first').slice(0, -1);
+	const second = sign('second').slice(0, -1);
+	assert.equal(makeLineVerifier(sessionKey, 'client')(second), undefined);
+	assert.equal(makeLineVerifier(sessionKey, 'server')(first), undefined);
+	const otherKey = makeSessionKey({key: 'a shared key of the peers', ...transcript, serverNonce: 'a different nonce'});
+	assert.equal(makeLineVerifier(otherKey, 'client')(first), undefined);
 });
--- a/packages/peers/src/secure-lines.ts
+++ b/packages/peers/src/secure-lines.ts
@@ -1,15 +1,15 @@
 /**
- * Authenticated lines over a socket. Both ends prove that they hold a shared key
- * over nonces of both, and each line then carries a code over its direction and
- * number; so a stranger, an altered line, a repeated line and one from another
- * connection are all refused. Lines are not encrypted: peers talk inside the
- * platform's network.
+ * Authenticated lines over a socket. Both ends prove that they hold a shared key by an HMAC over
+ * the nonces of both. Each line then carries a message authentication code (MAC) over its direction,
+ * sequence number and payload. This detects peers without the key and lines that were altered,
+ * replayed or taken from another connection. Lines are not encrypted, because peers communicate
+ * inside the platform's network.
  */
 import {Buffer} from 'node:buffer';
 import {createHmac, timingSafeEqual} from 'node:crypto';
 
-/** 22 characters of base64url carry 132 bits of the code. */
-const codeCharacters = 22;
+/** The MAC is truncated to 22 base64url characters, which hold 132 bits. */
+const macCharacters = 22;
 
 export const nonceBytes = 16;
 
@@ -24,46 +24,46 @@
 	readonly serverNonce: string;
 };
 
-const sign = (key: string | Uint8Array, text: string): string => createHmac('sha256', key).update(text).digest('base64url');
+const computeHmac = (key: string | Uint8Array, text: string): string => createHmac('sha256', key).update(text).digest('base64url');
 
-/** Proof of holding the key, bound to both ends and to this connection. */
+/** Computes the proof of possession of a shared key, bound to both peers and to this connection. */
 export const makeProof = ({key, role, clientId, clientNonce, serverId, serverNonce}: ProofOptions): string =>
-	sign(key, JSON.stringify(['proof', role, clientId, clientNonce, serverId, serverNonce]));
+	computeHmac(key, JSON.stringify(['proof', role, clientId, clientNonce, serverId, serverNonce]));
 
-/** Key of one connection. */
+/** Derives the session key of a connection from the shared key. */
 export const makeSessionKey = ({key, clientId, clientNonce, serverId, serverNonce}: Omit<ProofOptions, 'role'>): Uint8Array =>
 	createHmac('sha256', key).update(JSON.stringify(['session', clientId, clientNonce, serverId, serverNonce])).digest();
 
-export const isSameText = (left: string, right: string): boolean => {
+export const isTimingSafeEqual = (left: string, right: string): boolean => {
 	const leftBytes = Buffer.from(left);
 	const rightBytes = Buffer.from(right);
 	return leftBytes.length === rightBytes.length && timingSafeEqual(leftBytes, rightBytes);
 };
 
-const makeCode = (sessionKey: Uint8Array, direction: LineDirection, sequence: number, payload: string): string =>
-	sign(sessionKey, `${direction} ${sequence} ${payload}`).slice(0, codeCharacters);
+const computeMac = (sessionKey: Uint8Array, direction: LineDirection, sequence: number, payload: string): string =>
+	computeHmac(sessionKey, `${direction} ${sequence} ${payload}`).slice(0, macCharacters);
 
-export type LineSealer = (payload: string) => string;
+export type LineSigner = (payload: string) => string;
 
-/** Makes the function that turns a payload into the next line of its direction. */
-export const makeLineSealer = (sessionKey: Uint8Array, direction: LineDirection): LineSealer => {
+/** Makes a function that prefixes a payload with its MAC and returns it as the next line in the direction. */
+export const makeLineSigner = (sessionKey: Uint8Array, direction: LineDirection): LineSigner => {
 	let sequence = 0;
 	return payload => {
-		const line = `${makeCode(sessionKey, direction, sequence, payload)}${payload}\n`;
+		const line = `${computeMac(sessionKey, direction, sequence, payload)}${payload}\n`;
 		sequence++;
 		return line;
 	};
 };
 
-export type LineOpener = (line: string) => string | undefined;
+export type LineVerifier = (line: string) => string | undefined;
 
-/** Makes the function that gives the payload of the next line, or undefined when the line is not the peer's next one. */
-export const makeLineOpener = (sessionKey: Uint8Array, direction: LineDirection): LineOpener => {
+/** Makes a function that returns the payload of the next line, or undefined if the MAC does not match the next sequence number. */
+export const makeLineVerifier = (sessionKey: Uint8Array, direction: LineDirection): LineVerifier => {
 	let sequence = 0;
 	return line => {
-		const payload = line.slice(codeCharacters);
-		const isGenuine = isSameText(line.slice(0, codeCharacters), makeCode(sessionKey, direction, sequence, payload));
+		const payload = line.slice(macCharacters);
+		const isValid = isTimingSafeEqual(line.slice(0, macCharacters), computeMac(sessionKey, direction, sequence, payload));
 		sequence++;
-		return isGenuine ? payload : undefined;
+		return isValid ? payload : undefined;
 	};
 };
