--- a/packages/backends/src/backend-connections.ts
+++ b/packages/backends/src/backend-connections.ts
@@ -1,28 +1,28 @@
-/** Connections to backend servers: kept ones for calls that may repeat, one of its own for each that may not. */
+/** Connections to backend servers: pooled for repeatable calls, and a new one for each call that must not run twice. */
 import {Agent, Client, type Dispatcher} from 'undici';
 
 const connectTimeoutMs = 2000;
 const keepAliveMs = 4000;
 
-/** Streams at one backend server at once, over which new ones wait. */
-const mostConnections = 2048;
+/** Maximum number of concurrent connections to one backend server. Further requests wait for a free connection. */
+const maxConnectionsPerBackend = 2048;
 
 export type BackendConnections = {
-	/** For calls that may run twice. */
+	/** Connection pool for calls that may run twice. */
 	readonly shared: Dispatcher;
 	/**
-	 * A connection for one call. A kept connection may have been closed by the
-	 * other end just before the call is written, and then nobody can tell whether
-	 * the call ran; on a new one a failure to connect proves that it did not.
+	 * Opens a connection for a single call. The backend server may close a pooled connection just before
+	 * the call is written, and then it is unknown whether the call ran. With a new connection, a failure to
+	 * connect proves that it did not run.
 	 */
-	readonly openSingle: (address: string) => Client;
+	readonly openSingleUse: (address: string) => Client;
 	readonly close: () => Promise<void>;
 };
 
 export const makeBackendConnections = (): BackendConnections => {
 	const shared = new Agent({
 		connect: {timeout: connectTimeoutMs},
-		connections: mostConnections,
+		connections: maxConnectionsPerBackend,
 		pipelining: 1,
 		keepAliveTimeout: keepAliveMs,
 		keepAliveMaxTimeout: keepAliveMs,
@@ -31,7 +31,7 @@
 	});
 	return {
 		shared,
-		openSingle: address => new Client(`http://${address}`, {
+		openSingleUse: address => new Client(`http://${address}`, {
 			connect: {timeout: connectTimeoutMs},
 			pipelining: 1,
 			headersTimeout: 0,
@@ -52,7 +52,7 @@
 	'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Whether the failure proves that nothing was sent. */
+/** Whether the error proves that no connection was established, so that nothing was sent. */
 export const isConnectFailure = (error: unknown): boolean => {
 	if (typeof error !== 'object' || error === null) {
 		return false;
--- a/packages/backends/src/call-plain.ts
+++ b/packages/backends/src/call-plain.ts
@@ -1,9 +1,9 @@
-/** One call to a plain service at one backend server. */
+/** Sends a call to a plain service on one backend server. */
 import {type Readable} from 'node:stream';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {type Client, type Dispatcher} from 'undici';
 import {type BackendConnections, isConnectFailure} from './backend-connections.js';
-import {filterAnswerFields, listFields, type HttpField} from './http-fields.js';
+import {filterResponseFields, convertHeaders, type HttpField} from './http-fields.js';
 
 export type PlainCall = {
 	readonly address: string;
@@ -13,7 +13,7 @@
 	readonly body: Uint8Array | Readable | undefined;
 	readonly requestId: string;
 	readonly traceparent?: string;
-	/** Offset of the claim; backend servers that check refuse a lower one. */
+	/** Fencing token: log offset of the claim. A backend server that checks fencing refuses a lower one. */
 	readonly fencing?: number;
 	readonly isRepeatable: boolean;
 	readonly signal: AbortSignal;
@@ -25,7 +25,7 @@
 	readonly body: Readable;
 };
 
-/** How a call failed: before anything was sent, or when it may have run. */
+/** Failed call to a backend server. `wasSent` is false only if the backend server cannot have received the call. */
 export class BackendCallError extends Error {
 	override readonly name = 'BackendCallError';
 	readonly wasSent: boolean;
@@ -50,19 +50,19 @@
 	return headers;
 };
 
-/** An answer that names another request is from a connection that is out of step; it must not reach this caller. */
-const checkRequestId = (response: Dispatcher.ResponseData, requestId: string): void => {
-	const echoed = response.headers['x-request-id'];
-	if (echoed !== undefined && echoed !== requestId) {
-		response.body.on('error', () => {/* it is left unread */});
+/** Throws if the response carries the id of a different request, because that response must not reach this caller. */
+const verifyRequestId = (response: Dispatcher.ResponseData, requestId: string): void => {
+	const echoedRequestId = response.headers['x-request-id'];
+	if (echoedRequestId !== undefined && echoedRequestId !== requestId) {
+		response.body.on('error', () => {/* the body is discarded */});
 		response.body.destroy();
 		throw new ServingError('the backend server answered with the id of a different request', {kind: 'mismatched_answer'});
 	}
 };
 
 export const callPlain = async (call: PlainCall, connections: BackendConnections): Promise<PlainAnswer> => {
-	const single: Client | undefined = call.isRepeatable ? undefined : connections.openSingle(call.address);
-	const dispatcher = single ?? connections.shared;
+	const singleUse: Client | undefined = call.isRepeatable ? undefined : connections.openSingleUse(call.address);
+	const dispatcher = singleUse ?? connections.shared;
 	try {
 		const response = await dispatcher.request({
 			origin: `http://${call.address}`,
@@ -72,25 +72,25 @@
 			body: call.body,
 			signal: call.signal,
 		});
-		checkRequestId(response, call.requestId);
-		if (single !== undefined) {
+		verifyRequestId(response, call.requestId);
+		if (singleUse !== undefined) {
 			response.body.once('close', () => {
-				void single.destroy();
+				void singleUse.destroy();
 			});
 		}
 
 		return {
 			status: response.statusCode,
-			fields: filterAnswerFields(listFields(response.headers)),
+			fields: filterResponseFields(convertHeaders(response.headers)),
 			body: response.body,
 		};
 	} catch (error) {
-		void single?.destroy();
+		void singleUse?.destroy();
 		if (error instanceof ServingError) {
 			throw error;
 		}
 
-		const detail = error instanceof Error ? error.message : 'the call failed';
-		throw new BackendCallError(detail, {cause: error, wasSent: !isConnectFailure(error)});
+		const failureMessage = error instanceof Error ? error.message : 'the call failed';
+		throw new BackendCallError(failureMessage, {cause: error, wasSent: !isConnectFailure(error)});
 	}
 };
--- a/packages/backends/src/cancel-request.ts
+++ b/packages/backends/src/cancel-request.ts
@@ -2,7 +2,7 @@
 
 const cancelTimeoutMs = 1000;
 
-/** Tells an engine to stop a request whose stream was left; an engine that cannot be reached has stopped it anyway. */
+/** Tells a model engine to cancel a request whose stream is no longer read. Errors are ignored. */
 export const cancelRequest = async (address: string, id: string, dispatcher: Dispatcher): Promise<void> => {
 	try {
 		const response = await request(`http://${address}/v1/requests/${encodeURIComponent(id)}`, {
@@ -12,6 +12,6 @@
 		});
 		await response.body.dump();
 	} catch {
-		// Closing the connection cancels it too.
+		// The engine also cancels the request when its connection is closed.
 	}
 };
--- a/packages/backends/src/collect-chunks.ts
+++ b/packages/backends/src/collect-chunks.ts
@@ -1,15 +1,15 @@
-/** Turns the events of an engine's stream into text for the caller, and keeps where the stream stands. */
+/** Converts the events of an engine's stream into text for the caller and tracks the position in the stream. */
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {type EventSourceMessage} from 'eventsource-parser';
 import {isChatChunk, isFinishChunk, isTokenChunk} from './openai-format.js';
 
-/** Where a stream stands; enough to resume it at any engine of the model. */
+/** Position in a stream, sufficient to resume the stream on any engine of the model. */
 export type StreamPosition = {
-	/** Id that the engine gave its chunks; undefined before the first. */
+	/** Chunk id that the caller sees; undefined before the first chunk. */
 	readonly id: string | undefined;
-	/** Token chunks passed on. */
+	/** Number of token chunks forwarded. */
 	readonly tokens: number;
-	/** Whether anything at all was passed on. */
+	/** Whether any chunk was forwarded. */
 	readonly hasStarted: boolean;
 	readonly isFinished: boolean;
 };
@@ -19,7 +19,7 @@
 };
 
 export type StreamBatch = {
-	/** SSE text for the caller. */
+	/** Server-sent events (SSE) as text for the caller. */
 	readonly text: string;
 	readonly tokens: number;
 	readonly position: StreamPosition;
@@ -27,23 +27,24 @@
 };
 
 export type ChunkCollector = {
-	/** Throws ServingError when the event is broken or of another stream. */
+	/** Throws a ServingError if the event is malformed or belongs to another stream. */
 	readonly push: (event: EventSourceMessage) => void;
-	readonly take: () => StreamBatch;
+	/** Returns the events collected since the last call. */
+	readonly takeBatch: () => StreamBatch;
 };
 
-export const makeInvalidAnswer = (detail: string): ServingError => new ServingError(detail, {kind: 'invalid_backend_answer'});
+export const makeInvalidResponseError = (detail: string): ServingError => new ServingError(detail, {kind: 'invalid_backend_answer'});
 
-/** Collects the events of one network chunk, so that the caller gets them in one write. */
+/** Makes a collector that batches the events of one network chunk, so that they are sent to the caller in one write. */
 export const makeChunkCollector = (start: StreamPosition): ChunkCollector => {
 	let position = start;
-	const callerId = start.id;
+	const outgoingId = start.id;
 	let engineId: string | undefined;
 	let text = '';
 	let tokens = 0;
 	let isDone = false;
 
-	const checkId = (id: string): void => {
+	const verifyStreamId = (id: string): void => {
 		engineId ??= id;
 		if (id !== engineId) {
 			throw new ServingError('the engine mixed the chunks of another stream into this one', {kind: 'mismatched_answer'});
@@ -61,26 +62,26 @@
 		try {
 			chunk = JSON.parse(data);
 		} catch {
-			throw makeInvalidAnswer('the engine sent an event that is not JSON');
+			throw makeInvalidResponseError('the engine sent an event that is not JSON');
 		}
 
 		if (!isChatChunk(chunk)) {
-			throw makeInvalidAnswer('the engine sent an event that is no chunk of a chat completion');
+			throw makeInvalidResponseError('the engine sent an event that is no chunk of a chat completion');
 		}
 
-		checkId(chunk.id);
+		verifyStreamId(chunk.id);
 		const isToken = isTokenChunk(chunk);
 		const isFinish = isFinishChunk(chunk);
-		// A resumed stream opens like a new one; what the caller has seen of that is left out.
+		// A resumed stream starts with the same opening chunks as a new one. They are skipped if the caller already has them.
 		if (start.hasStarted && tokens === 0 && !isToken && !isFinish && position.tokens === start.tokens) {
 			return;
 		}
 
 		tokens += isToken ? 1 : 0;
-		const isRenamed = callerId !== undefined && callerId !== chunk.id;
-		text += `data: ${isRenamed ? JSON.stringify({...chunk, id: callerId}) : data}\n\n`;
+		const isIdReplaced = outgoingId !== undefined && outgoingId !== chunk.id;
+		text += `data: ${isIdReplaced ? JSON.stringify({...chunk, id: outgoingId}) : data}\n\n`;
 		position = {
-			id: callerId ?? chunk.id,
+			id: outgoingId ?? chunk.id,
 			tokens: position.tokens + (isToken ? 1 : 0),
 			hasStarted: true,
 			isFinished: position.isFinished || isFinish,
@@ -89,7 +90,7 @@
 
 	return {
 		push,
-		take() {
+		takeBatch() {
 			const batch = {
 				text, tokens, position, isDone,
 			};
--- a/packages/backends/src/engine-events.ts
+++ b/packages/backends/src/engine-events.ts
@@ -1,8 +1,8 @@
-/** Cache events of a model engine: what its prefix cache took in and let go, late and with gaps. */
+/** Reads the cache events of a model engine: blocks that its prefix cache stored and evicted. Events can be late or missing. */
 import {type Dispatcher, request} from 'undici';
 import * as z from 'zod';
 
-/** Blocks are named by the hash of the prompt up to their end, in hexadecimal digits. */
+/** A block is identified by the hash of the prompt up to the end of the block, in hexadecimal. */
 const blockPattern = /^[\da-f]{1,16}$/v;
 
 const eventsSchema = z.object({
@@ -19,24 +19,24 @@
 	readonly blocks: readonly bigint[];
 };
 
-export type CacheEvents = {
+export type CacheEventPage = {
 	readonly events: readonly CacheEvent[];
-	/** Where to go on. */
+	/** Sequence number from which to continue reading. */
 	readonly next: number;
 };
 
-const eventsTimeoutMs = 1000;
+const requestTimeoutMs = 1000;
 
-/** Names of another scheme than ours match no prompt, and are left out. */
-const readBlocks = (blocks: readonly string[]): bigint[] =>
+/** Parses block hashes. Skips values in other formats, which cannot match any prompt. */
+const parseBlockHashes = (blocks: readonly string[]): bigint[] =>
 	blocks.filter(block => blockPattern.test(block)).map(block => BigInt(`0x${block}`));
 
-/** Throws when the engine does not answer, or answers with something else. */
-export const readCacheEvents = async (address: string, from: number, dispatcher: Dispatcher, signal: AbortSignal): Promise<CacheEvents> => {
+/** Throws if the request fails or the response is invalid. */
+export const readCacheEvents = async (address: string, from: number, dispatcher: Dispatcher, signal: AbortSignal): Promise<CacheEventPage> => {
 	const response = await request(`http://${address}/events?from=${from}`, {
 		dispatcher,
-		signal: AbortSignal.any([signal, AbortSignal.timeout(eventsTimeoutMs)]),
+		signal: AbortSignal.any([signal, AbortSignal.timeout(requestTimeoutMs)]),
 	});
 	const {events, next} = eventsSchema.parse(await response.body.json());
-	return {events: events.map(({kind, blocks}) => ({kind, blocks: readBlocks(blocks)})), next};
+	return {events: events.map(({kind, blocks}) => ({kind, blocks: parseBlockHashes(blocks)})), next};
 };
--- a/packages/backends/src/engine-load.ts
+++ b/packages/backends/src/engine-load.ts
@@ -1,4 +1,4 @@
-/** Load reports of a model engine, and the check of one that has gone quiet. */
+/** Reads the load reports of a model engine and checks whether it responds at all. */
 import {Client, type Dispatcher, request} from 'undici';
 import * as z from 'zod';
 
@@ -11,25 +11,25 @@
 
 export type EngineLoad = z.output<typeof loadSchema>;
 
-const loadTimeoutMs = 1000;
+const requestTimeoutMs = 1000;
 
 export const readLoad = async (address: string, dispatcher: Dispatcher, signal: AbortSignal): Promise<EngineLoad> => {
 	const response = await request(`http://${address}/load`, {
 		dispatcher,
-		signal: AbortSignal.any([signal, AbortSignal.timeout(loadTimeoutMs)]),
+		signal: AbortSignal.any([signal, AbortSignal.timeout(requestTimeoutMs)]),
 	});
 	const body: unknown = await response.body.json();
 	return loadSchema.parse(body);
 };
 
-/** Whether the backend server answers at all on a connection made just now. */
+/** Whether the backend server responds to a request on a new connection. */
 export const isAnswering = async (address: string, signal: AbortSignal): Promise<boolean> => {
-	const client = new Client(`http://${address}`, {connect: {timeout: loadTimeoutMs}});
+	const client = new Client(`http://${address}`, {connect: {timeout: requestTimeoutMs}});
 	try {
 		const response = await client.request({
 			method: 'GET',
 			path: '/load',
-			signal: AbortSignal.any([signal, AbortSignal.timeout(loadTimeoutMs)]),
+			signal: AbortSignal.any([signal, AbortSignal.timeout(requestTimeoutMs)]),
 		});
 		await response.body.dump();
 		return true;
--- a/packages/backends/src/engine-stream.ts
+++ b/packages/backends/src/engine-stream.ts
@@ -1,7 +1,6 @@
 /**
- * One stream of a model engine. It hands over the text to pass on, batch by
- * batch as it comes off the connection, within the event that brought it: a
- * promise for each chunk would cost more than all else that is done with it.
+ * Streams a response from a model engine to a sink. Batches are forwarded synchronously in the event
+ * that received them, because a promise per chunk would cost more than all other processing of the chunk.
  */
 import {StringDecoder} from 'node:string_decoder';
 import {ServingError} from '@shallotpass/common/serving-error.js';
@@ -10,12 +9,12 @@
 import {BackendCallError} from './call-plain.js';
 import {type BackendConnections, isConnectFailure} from './backend-connections.js';
 import {
-	makeChunkCollector, makeInvalidAnswer, type StreamBatch, type StreamPosition,
+	makeChunkCollector, makeInvalidResponseError, type StreamBatch, type StreamPosition,
 } from './collect-chunks.js';
 
 type EngineCall = {
 	readonly address: string;
-	/** The caller's body, parsed; `resume` is added to it. */
+	/** The caller's parsed request body, to which `resume` is added. */
 	readonly body: Readonly<Record<string, unknown>>;
 	readonly priority: number;
 	readonly requestId: string;
@@ -24,32 +23,32 @@
 	readonly signal: AbortSignal;
 };
 
-/** Who gets the stream. */
+/** Receiver of the stream, with backpressure. */
 export type StreamSink = {
-	/** False when there is no room for more. */
+	/** Returns false if its buffer is full. */
 	readonly take: (batch: StreamBatch) => boolean;
-	/** Resolves when there is room again, or nobody left to need it. */
+	/** Resolves when the buffer has drained or the receiver is gone. */
 	readonly waitForRoom: () => Promise<void>;
 };
 
-/** An engine that sends so much without an event is not speaking SSE. */
-const longestEventCharacters = 4 * 1024 * 1024;
+/** An engine that sends more than this without completing an event is not sending valid SSE. */
+const maxEventBytes = 4 * 1024 * 1024;
 
-/** Of the text of a refusal so much is kept. */
-const keptRefusalCharacters = 200;
+/** Maximum length of the text kept from an error response. */
+const maxErrorTextCharacters = 200;
 
-/** After its end mark a body may stay open for so long before its connection is closed. */
-const endWithinMs = 1000;
+/** If the body does not end within this time after the final event, the connection is closed. */
+const bodyEndTimeoutMs = 1000;
 
 const okStatus = 200;
 
 const makeBody = (call: EngineCall): string => {
 	const {position} = call;
-	const resume = position.id === undefined || position.tokens === 0
+	const resumeFields = position.id === undefined || position.tokens === 0
 		? {}
 		: {resume: {id: position.id, after: position.tokens - 1}};
 	return JSON.stringify({
-		...call.body, stream: true, priority: call.priority, ...resume,
+		...call.body, stream: true, priority: call.priority, ...resumeFields,
 	});
 };
 
@@ -60,7 +59,7 @@
 	...(call.traceparent === undefined ? {} : {traceparent: call.traceparent}),
 });
 
-/** Status of a refusal that a different engine may not share. */
+/** Error response of an engine. Another engine may still accept the request. */
 export class EngineRefusal extends Error {
 	override readonly name = 'EngineRefusal';
 	readonly status: number;
@@ -74,66 +73,66 @@
 }
 
 type ChunkReader = {
-	/** Gives what the bytes complete; throws ServingError when they are no stream of this answer. */
+	/** Returns the events that the bytes complete. Throws a ServingError if they are not valid events of this stream. */
 	readonly read: (bytes: Uint8Array) => StreamBatch;
 };
 
 const makeChunkReader = (start: StreamPosition): ChunkReader => {
 	const collector = makeChunkCollector(start);
 	const decoder = new StringDecoder('utf8');
-	let sinceEvent = 0;
+	let bytesSinceEvent = 0;
 	const parser = createParser({
 		onEvent(event) {
-			sinceEvent = 0;
+			bytesSinceEvent = 0;
 			collector.push(event);
 		},
 		onError(error) {
-			// Fields that SSE does not know are passed over, as its specification says.
+			// The SSE specification requires that unknown fields are ignored.
 			if (error.type !== 'unknown-field') {
-				throw makeInvalidAnswer(`the engine sent broken SSE: ${error.message}`);
+				throw makeInvalidResponseError(`the engine sent broken SSE: ${error.message}`);
 			}
 		},
 	});
 	return {
 		read(bytes) {
-			sinceEvent += bytes.length;
+			bytesSinceEvent += bytes.length;
 			parser.feed(decoder.write(bytes));
-			if (sinceEvent > longestEventCharacters) {
-				throw makeInvalidAnswer('the engine sent an event that does not end');
+			if (bytesSinceEvent > maxEventBytes) {
+				throw makeInvalidResponseError('the engine sent an event that does not end');
 			}
 
-			return collector.take();
+			return collector.takeBatch();
 		},
 	};
 };
 
-type Settle = {
+type StreamCompletion = {
 	readonly resolve: () => void;
 	readonly reject: (error: Error) => void;
 };
 
-/** Follows one request at the connection, from its first byte until its answer is whole or given up. */
-const makeStreamHandler = (call: EngineCall, sink: StreamSink, settle: Settle): Dispatcher.DispatchHandler => {
+/** Makes the handler of a streaming request, which settles `completion` when the response is complete or has failed. */
+const makeStreamHandler = (call: EngineCall, sink: StreamSink, completion: StreamCompletion): Dispatcher.DispatchHandler => {
 	const reader = makeChunkReader(call.position);
 	let controller: Dispatcher.DispatchController | undefined;
-	let refusedWith: number | undefined;
-	let refusal = '';
+	let errorStatus: number | undefined;
+	let errorText = '';
 	let isSettled = false;
 	let endTimer: NodeJS.Timeout | undefined;
 
-	const settleOnce = (act: () => void): void => {
+	const settle = (complete: () => void): void => {
 		if (isSettled) {
 			return;
 		}
 
 		isSettled = true;
 		call.signal.removeEventListener('abort', onAbort);
-		act();
+		complete();
 	};
 
 	const fail = (error: Error): void => {
-		settleOnce(() => {
-			settle.reject(error);
+		settle(() => {
+			completion.reject(error);
 			controller?.abort(error);
 		});
 	};
@@ -142,55 +141,58 @@
 		fail(new BackendCallError('the call was aborted', {cause: call.signal.reason, wasSent: true}));
 	};
 
-	/** The answer is whole; its body has a while to end, so that the connection can be kept. */
-	const finish = (): void => {
-		settleOnce(settle.resolve);
+	/** Called when the response is complete. The body gets some time to end, so that the connection can be reused. */
+	const finishStream = (): void => {
+		settle(completion.resolve);
 		endTimer = setTimeout(() => {
-			controller?.abort(new Error('the stream did not end after its end mark'));
-		}, endWithinMs).unref();
+			controller?.abort(new Error('the body did not end after the final event'));
+		}, bodyEndTimeoutMs).unref();
 	};
 
-	const waitForRoom = async (): Promise<void> => {
+	const pauseUntilDrained = async (): Promise<void> => {
 		controller?.pause();
 		await sink.waitForRoom();
 		controller?.resume();
 	};
 
-	const pass = (batch: StreamBatch): void => {
+	const forwardBatch = (batch: StreamBatch): void => {
 		if (batch.text !== '' && !sink.take(batch) && !batch.isDone) {
-			void waitForRoom();
+			void pauseUntilDrained();
 		}
 
 		if (batch.isDone) {
-			finish();
+			finishStream();
 		}
 	};
 
-	const readRefusal = (status: number, bytes: Uint8Array): void => {
-		refusal += new TextDecoder().decode(bytes);
-		if (refusal.length >= keptRefusalCharacters) {
-			fail(new EngineRefusal(status, refusal.slice(0, keptRefusalCharacters)));
+	const readErrorText = (status: number, bytes: Uint8Array): void => {
+		errorText += new TextDecoder().decode(bytes);
+		if (errorText.length >= maxErrorTextCharacters) {
+			fail(new EngineRefusal(status, errorText.slice(0, maxErrorTextCharacters)));
 		}
 	};
 
-	/** The body has ended, which is a fault unless the answer is whole; most are, and an error with its stack is dear. */
-	const noteEnd = (detail: string, cause?: Error): void => {
+	/**
+	 * Called when the body ends, which is an error unless the response is complete. The error is created only then,
+	 * because capturing its stack is expensive and most responses are complete.
+	 */
+	const handleResponseEnd = (detail: string, cause?: Error): void => {
 		clearTimeout(endTimer);
 		if (isSettled) {
 			return;
 		}
 
-		fail(refusedWith === undefined
+		fail(errorStatus === undefined
 			? new BackendCallError(detail, {cause, wasSent: !isConnectFailure(cause)})
-			: new EngineRefusal(refusedWith, refusal));
+			: new EngineRefusal(errorStatus, errorText));
 	};
 
 	call.signal.addEventListener('abort', onAbort, {once: true});
 	return {
-		onRequestStart(started) {
-			controller = started;
+		onRequestStart(requestController) {
+			controller = requestController;
 			if (isSettled) {
-				started.abort(new Error('given up before it was sent'));
+				requestController.abort(new Error('aborted before the request was sent'));
 			}
 		},
 		onResponseStart(_controller, status, headers) {
@@ -198,47 +200,47 @@
 				return;
 			}
 
-			const echoed = headers['x-request-id'];
-			if (echoed !== undefined && echoed !== call.requestId) {
+			const echoedRequestId = headers['x-request-id'];
+			if (echoedRequestId !== undefined && echoedRequestId !== call.requestId) {
 				fail(new ServingError('the engine answered with the id of a different request', {kind: 'mismatched_answer'}));
 				return;
 			}
 
-			refusedWith = status === okStatus ? undefined : status;
+			errorStatus = status === okStatus ? undefined : status;
 		},
 		onResponseData(_controller, bytes) {
 			if (isSettled) {
-				// Nothing comes after the end mark; what does is not of this answer.
-				controller?.abort(new Error('data after the end mark'));
+				// The final event has been received, so this data does not belong to the response.
+				controller?.abort(new Error('received data after the final event'));
 				return;
 			}
 
-			if (refusedWith !== undefined) {
-				readRefusal(refusedWith, bytes);
+			if (errorStatus !== undefined) {
+				readErrorText(errorStatus, bytes);
 				return;
 			}
 
 			try {
-				pass(reader.read(bytes));
+				forwardBatch(reader.read(bytes));
 			} catch (error) {
-				fail(error instanceof Error ? error : makeInvalidAnswer('the stream cannot be read'));
+				fail(error instanceof Error ? error : makeInvalidResponseError('the stream cannot be read'));
 			}
 		},
 		onResponseEnd() {
-			noteEnd('the stream ended before its end mark');
+			handleResponseEnd('the stream ended before its end mark');
 		},
 		onResponseError(_controller, error) {
-			noteEnd(error.message, error);
+			handleResponseEnd(error.message, error);
 		},
 	};
 };
 
 /**
- * Streams one answer from one engine into the sink, from `position` on.
+ * Streams one response from one engine into the sink, starting after `position`.
  *
- * Throws BackendCallError when the engine cannot be reached or breaks off,
- * EngineRefusal when it refuses, and ServingError when what it sends is broken
- * or belongs to another request; the connection is then closed.
+ * Throws a BackendCallError if the engine cannot be reached or the stream is interrupted, an EngineRefusal
+ * if the engine responds with an error status, and a ServingError if the response is malformed or belongs
+ * to another request. The connection is closed in these cases.
  */
 export const streamEngine = async (call: EngineCall, connections: BackendConnections, sink: StreamSink): Promise<void> => new Promise((resolve, reject) => {
 	if (call.signal.aborted) {
--- a/packages/backends/src/fetch-whole.ts
+++ b/packages/backends/src/fetch-whole.ts
@@ -1,10 +1,10 @@
-/** One whole answer of a model engine, for callers that do not stream. */
+/** Fetches a complete response from a model engine, for callers that do not stream. */
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {BackendCallError} from './call-plain.js';
 import {type BackendConnections, isConnectFailure} from './backend-connections.js';
 import {EngineRefusal} from './engine-stream.js';
 
-type WholeCall = {
+type CompletionCall = {
 	readonly address: string;
 	readonly body: Readonly<Record<string, unknown>>;
 	readonly priority: number;
@@ -13,11 +13,11 @@
 	readonly signal: AbortSignal;
 };
 
-/** Throws as `streamEngine` does. */
-export const fetchWhole = async (call: WholeCall, connections: BackendConnections): Promise<string> => {
+/** Throws the same errors as `streamEngine`. */
+export const fetchWhole = async (call: CompletionCall, connections: BackendConnections): Promise<string> => {
 	let status: number;
 	let text: string;
-	let echoed: string | string[] | undefined;
+	let echoedRequestId: string | string[] | undefined;
 	try {
 		const response = await connections.shared.request({
 			origin: `http://${call.address}`,
@@ -32,13 +32,13 @@
 			signal: call.signal,
 		});
 		status = response.statusCode;
-		echoed = response.headers['x-request-id'];
+		echoedRequestId = response.headers['x-request-id'];
 		text = await response.body.text();
 	} catch (error) {
 		throw new BackendCallError(error instanceof Error ? error.message : 'the call failed', {cause: error, wasSent: !isConnectFailure(error)});
 	}
 
-	if (echoed !== undefined && echoed !== call.requestId) {
+	if (echoedRequestId !== undefined && echoedRequestId !== call.requestId) {
 		throw new ServingError('the engine answered with the id of a different request', {kind: 'mismatched_answer'});
 	}
 
--- a/packages/backends/src/http-fields.ts
+++ b/packages/backends/src/http-fields.ts
@@ -1,19 +1,19 @@
-/** Header fields that are passed on, and those that are not. */
+/** Selects the header fields that are forwarded between callers and backend servers. */
 import {hopByHopFields, parseConnectionNames} from '@shallotpass/common/hop-by-hop-fields.js';
 
-/** Fields between caller and system that a backend server has no use for. */
-const callerFields = new Set(['authorization', 'x-request-deadline', 'x-request-class', 'traceparent', 'tracestate', 'x-request-id', 'x-fencing', 'content-length']);
+/** Request fields that are not forwarded, because they are meant for this system or are set anew for the backend server. */
+const droppedRequestFields = new Set(['authorization', 'x-request-deadline', 'x-request-class', 'traceparent', 'tracestate', 'x-request-id', 'x-fencing', 'content-length']);
 
 export type HttpField = {readonly name: string; readonly value: string};
 
-const listConnectionFields = (fields: readonly HttpField[]): Set<string> => parseConnectionNames(fields
+const listConnectionNames = (fields: readonly HttpField[]): Set<string> => parseConnectionNames(fields
 	.filter(field => field.name.toLowerCase() === 'connection')
 	.map(field => field.value));
 
-/** `Host` names the next hop, which the client of it sets itself. */
-const isOfOneConnection = (name: string, named: ReadonlySet<string>): boolean => hopByHopFields.has(name) || name === 'host' || named.has(name);
+/** Whether the field applies to one connection only. `Host` is included because the HTTP client sets it for the next hop. */
+const isHopByHop = (name: string, connectionNames: ReadonlySet<string>): boolean => hopByHopFields.has(name) || name === 'host' || connectionNames.has(name);
 
-/** Raw header list of Node to fields. */
+/** Converts Node's flat list of raw headers (name, value, name, value, ...) to fields. */
 export const readRawFields = (raw: readonly string[]): HttpField[] => {
 	const fields: HttpField[] = [];
 	for (let index = 0; index + 1 < raw.length; index += 2) {
@@ -24,23 +24,23 @@
 };
 
 export const filterRequestFields = (fields: readonly HttpField[]): HttpField[] => {
-	const named = listConnectionFields(fields);
+	const connectionNames = listConnectionNames(fields);
 	return fields.filter(({name}) => {
-		const lower = name.toLowerCase();
-		return !isOfOneConnection(lower, named) && !callerFields.has(lower);
+		const lowerName = name.toLowerCase();
+		return !isHopByHop(lowerName, connectionNames) && !droppedRequestFields.has(lowerName);
 	});
 };
 
-export const filterAnswerFields = (fields: readonly HttpField[]): HttpField[] => {
-	const named = listConnectionFields(fields);
+export const filterResponseFields = (fields: readonly HttpField[]): HttpField[] => {
+	const connectionNames = listConnectionNames(fields);
 	return fields.filter(({name}) => {
-		const lower = name.toLowerCase();
-		return !isOfOneConnection(lower, named) && lower !== 'x-request-id';
+		const lowerName = name.toLowerCase();
+		return !isHopByHop(lowerName, connectionNames) && lowerName !== 'x-request-id';
 	});
 };
 
-/** The headers object of undici to fields, one for each value. */
-export const listFields = (headers: Record<string, string | string[] | undefined>): HttpField[] =>
+/** Converts undici's headers object to fields, with one field per value. */
+export const convertHeaders = (headers: Record<string, string | string[] | undefined>): HttpField[] =>
 	Object.entries(headers).flatMap(([name, value]) => {
 		if (value === undefined) {
 			return [];
--- a/packages/backends/src/openai-format.ts
+++ b/packages/backends/src/openai-format.ts
@@ -1,5 +1,5 @@
 /* eslint-disable @typescript-eslint/naming-convention -- names of the OpenAI wire format */
-/** The parts of OpenAI's chat format that the system reads; the rest passes through unread. */
+/** The parts of OpenAI's chat completion format that are parsed here. All other fields are forwarded unchanged. */
 import * as z from 'zod';
 
 const messageSchema = z.looseObject({
@@ -17,17 +17,17 @@
 
 export type ChatRequest = z.output<typeof chatRequestSchema>;
 
-/** Answer length to expect when the caller names none. */
-const usualAnswerTokens = 200;
+/** Expected response length if the request sets no maximum. */
+const defaultExpectedTokens = 200;
 
 export const getExpectedTokens = (request: ChatRequest): number =>
-	request.max_completion_tokens ?? request.max_tokens ?? usualAnswerTokens;
+	request.max_completion_tokens ?? request.max_tokens ?? defaultExpectedTokens;
 
-const getText = (content: unknown): string => typeof content === 'string' ? content : JSON.stringify(content ?? '');
+const toText = (content: unknown): string => typeof content === 'string' ? content : JSON.stringify(content ?? '');
 
-/** The prompt as one text, in the order in which the engine reads it. */
+/** Joins the messages to one text, in the order in which the engine processes them. */
 export const joinPrompt = (request: ChatRequest): string =>
-	request.messages.map(message => `${message.role}\n${getText(message.content)}\n`).join('');
+	request.messages.map(message => `${message.role}\n${toText(message.content)}\n`).join('');
 
 type ChatChunk = {
 	readonly id: string;
@@ -42,7 +42,7 @@
 	return !('choices' in value) || Array.isArray(value.choices);
 };
 
-/** Whether the chunk carries a piece of the answer, and so counts for resuming. */
+/** Whether the chunk carries content or tool calls. Only these chunks count towards the resume position. */
 export const isTokenChunk = (chunk: ChatChunk): boolean => {
 	const delta = chunk.choices?.[0]?.delta;
 	if (delta === undefined || delta === null) {
