--- a/packages/telemetry/src/logger.ts
+++ b/packages/telemetry/src/logger.ts
@@ -1,4 +1,4 @@
-/** Structured logs: one JSON object a line on standard error, switched by namespace (`DEBUG`). */
+/** Structured logging: one JSON object per line on standard error. The `DEBUG` variable selects namespaces. */
 import process from 'node:process';
 import createDebug from 'debug';
 
@@ -11,19 +11,19 @@
 	readonly error: (event: string, fields?: LogFields) => void;
 };
 
-/** Namespaces that are on when DEBUG is not set. */
-const usualNamespaces = 'shallotpass:info:*,shallotpass:warn:*,shallotpass:error:*';
+/** Namespaces that are enabled if DEBUG is not set. */
+const defaultNamespaces = 'shallotpass:info:*,shallotpass:warn:*,shallotpass:error:*';
 
 type Level = keyof Logger;
 
-/** Turns on the usual namespaces unless the environment names its own; call once at start. */
+/** Enables the default namespaces unless DEBUG is set in the environment. Call this once at startup. */
 export const enableLogs = (environment: NodeJS.ProcessEnv = process.env): void => {
 	if (environment.DEBUG === undefined) {
-		createDebug.enable(usualNamespaces);
+		createDebug.enable(defaultNamespaces);
 	}
 };
 
-const describeError = (value: unknown): unknown => {
+const serializeError = (value: unknown): unknown => {
 	if (!(value instanceof Error)) {
 		return value;
 	}
@@ -31,37 +31,38 @@
 	return {name: value.name, message: value.message, cause: value.cause instanceof Error ? value.cause.message : undefined};
 };
 
-type LineSource = {
+type LogSource = {
 	readonly level: Level;
 	readonly task: string;
 	readonly instance: string;
 };
 
-const formatLine = (source: LineSource, event: string, fields: LogFields): string => JSON.stringify({
+const formatLine = (source: LogSource, event: string, fields: LogFields): string => JSON.stringify({
 	at: new Date().toISOString(),
 	...source,
 	event,
-	...Object.fromEntries(Object.entries(fields).map(([key, value]) => [key, describeError(value)])),
+	...Object.fromEntries(Object.entries(fields).map(([key, value]) => [key, serializeError(value)])),
 });
 
-const makeLevel = (level: Level, task: string, instance: string): Logger[Level] => {
-	const write = createDebug(`shallotpass:${level}:${task}`);
-	write.log = (_format: unknown, line: unknown) => {
+const makeLogFunction = (level: Level, task: string, instance: string): Logger[Level] => {
+	const namespaceLog = createDebug(`shallotpass:${level}:${task}`);
+	namespaceLog.log = (_format: unknown, line: unknown) => {
 		process.stderr.write(`${String(line)}\n`);
 	};
 
 	return (event, fields = {}) => {
-		if (write.enabled) {
-			write('%s', formatLine({level, task, instance}, event, fields));
+		if (namespaceLog.enabled) {
+			namespaceLog('%s', formatLine({level, task, instance}, event, fields));
 		}
 	};
 };
 
-createDebug.formatArgs = () => {/* the line is complete as it is */};
+createDebug.formatArgs = () => {/* the line is already formatted */};
 
+/** Makes a logger for one task of an instance. Its namespaces are `shallotpass:LEVEL:TASK`. */
 export const makeLogger = (task: string, instance: string): Logger => ({
-	debug: makeLevel('debug', task, instance),
-	info: makeLevel('info', task, instance),
-	warn: makeLevel('warn', task, instance),
-	error: makeLevel('error', task, instance),
+	debug: makeLogFunction('debug', task, instance),
+	info: makeLogFunction('info', task, instance),
+	warn: makeLogFunction('warn', task, instance),
+	error: makeLogFunction('error', task, instance),
 });
--- a/packages/telemetry/src/tracing.ts
+++ b/packages/telemetry/src/tracing.ts
@@ -1,4 +1,4 @@
-/** Spans for each hop, W3C `traceparent` in and out. */
+/** Distributed tracing: one span for each step of a request, with W3C `traceparent` propagation. */
 import {
 	ROOT_CONTEXT,
 	SpanKind,
@@ -21,18 +21,18 @@
 } from '@opentelemetry/sdk-trace-base';
 import {type Logger} from './logger.js';
 
-/** The hops a request makes, each a span of its own. */
-export type HopName = 'caller' | 'admission' | 'routing' | 'claim' | 'peer' | 'backend';
+/** Names of the spans, one for each step of a request. */
+export type SpanName = 'caller' | 'admission' | 'routing' | 'claim' | 'peer' | 'backend';
 
 export type Hop = {
-	readonly makeChild: (name: HopName, attributes?: Readonly<Record<string, string | number>>) => Hop;
+	readonly makeChild: (name: SpanName, attributes?: Readonly<Record<string, string | number>>) => Hop;
 	readonly end: (error?: unknown) => void;
-	/** Value of `traceparent` for the next process. */
+	/** Returns the `traceparent` header value to send to the next process. */
 	readonly getTraceparent: () => string | undefined;
 };
 
 export type Tracing = {
-	readonly startHop: (name: HopName, traceparent: string | undefined, attributes: Readonly<Record<string, string | number>>) => Hop;
+	readonly startHop: (name: SpanName, traceparent: string | undefined, attributes: Readonly<Record<string, string | number>>) => Hop;
 	readonly shutdown: () => Promise<void>;
 };
 
@@ -45,7 +45,7 @@
 
 const propagator = new W3CTraceContextPropagator();
 
-const readParent = (traceparent: string | undefined): Context => {
+const parseParentContext = (traceparent: string | undefined): Context => {
 	if (traceparent === undefined) {
 		return ROOT_CONTEXT;
 	}
@@ -56,6 +56,7 @@
 	});
 };
 
+/** Makes an exporter that logs spans, used if no OTLP endpoint is configured. */
 const makeLogExporter = (logger: Logger): SpanExporter => ({
 	export(spans: ReadableSpan[], done: (result: ExportResult) => void) {
 		for (const span of spans) {
@@ -73,15 +74,15 @@
 
 		done({code: ExportResultCode.SUCCESS});
 	},
-	async shutdown() {/* the log needs no end */},
+	async shutdown() {/* the logger needs no shutdown */},
 });
 
-const makeHop = (tracer: Tracer, name: HopName, parent: Context, attributes: Readonly<Record<string, string | number>>): Hop => {
+const startSpanInContext = (tracer: Tracer, name: SpanName, parent: Context, attributes: Readonly<Record<string, string | number>>): Hop => {
 	const kind = name === 'caller' ? SpanKind.SERVER : (name === 'backend' || name === 'peer' ? SpanKind.CLIENT : SpanKind.INTERNAL);
 	const span: Span = tracer.startSpan(name, {kind, attributes: {...attributes}}, parent);
-	const own = trace.setSpan(parent, span);
+	const ownContext = trace.setSpan(parent, span);
 	return {
-		makeChild: (child, childAttributes = {}) => makeHop(tracer, child, own, childAttributes),
+		makeChild: (child, childAttributes = {}) => startSpanInContext(tracer, child, ownContext, childAttributes),
 		end(error) {
 			if (error !== undefined) {
 				span.setStatus({code: SpanStatusCode.ERROR, message: error instanceof Error ? error.message : undefined});
@@ -91,7 +92,7 @@
 		},
 		getTraceparent() {
 			const carrier: Record<string, string> = {};
-			propagator.inject(own, carrier, {
+			propagator.inject(ownContext, carrier, {
 				set(target: Record<string, string>, key, value) {
 					target[key] = value;
 				},
@@ -104,14 +105,14 @@
 export const startTracing = ({instance, otlp, sampleRatio, logger}: TracingOptions): Tracing => {
 	const exporter = otlp === undefined ? makeLogExporter(logger) : new OTLPTraceExporter({url: otlp});
 	const provider = new BasicTracerProvider({
-		// eslint-disable-next-line @typescript-eslint/naming-convention -- names of the OpenTelemetry conventions
+		// eslint-disable-next-line @typescript-eslint/naming-convention -- names from the OpenTelemetry semantic conventions
 		resource: resourceFromAttributes({'service.name': 'shallotpassd', 'service.instance.id': instance}),
 		sampler: new ParentBasedSampler({root: new TraceIdRatioBasedSampler(sampleRatio)}),
 		spanProcessors: [new BatchSpanProcessor(exporter)],
 	});
 	const tracer = provider.getTracer('shallotpass');
 	return {
-		startHop: (name, traceparent, attributes) => makeHop(tracer, name, readParent(traceparent), attributes),
+		startHop: (name, traceparent, attributes) => startSpanInContext(tracer, name, parseParentContext(traceparent), attributes),
 		async shutdown() {
 			try {
 				await provider.shutdown();
