--- a/packages/peers/src/handshake.ts
+++ b/packages/peers/src/handshake.ts
@@ -16,15 +16,15 @@
 const welcomeSchema = z.object({id: z.string().min(1), nonce: z.string().min(16), proof: z.string()});
 const proofSchema = z.object({proof: z.string()});
 
-export type SecureSession = {
+export type PeerSession = {
 	readonly peerId: string;
 	readonly sign: LineSigner;
 	readonly verify: LineVerifier;
 };
 
 export type HandshakeStep =
-	| {readonly kind: 'reply'; readonly line: string; readonly session?: SecureSession}
-	| {readonly kind: 'done'; readonly session: SecureSession}
+	| {readonly kind: 'reply'; readonly line: string; readonly session?: PeerSession}
+	| {readonly kind: 'done'; readonly session: PeerSession}
 	| {readonly kind: 'refused'; readonly reason: string};
 
 export type Handshake = {
--- a/packages/peers/src/peer-connection.ts
+++ b/packages/peers/src/peer-connection.ts
@@ -3,7 +3,7 @@
 import {type Deadline} from '@shallotpass/common/types.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {JSONRPCClient} from 'json-rpc-2.0';
-import {makeClientHandshake, type SecureSession} from './handshake.js';
+import {makeClientHandshake, type PeerSession} from './handshake.js';
 import {makeLineReader} from './line-reader.js';
 
 export type ByteCounts = {
@@ -41,7 +41,7 @@
 const makeUnreachableError = (address: string, detail: string): ServingError =>
 	new ServingError(`peer ${address} ${detail}`, {kind: 'platform_unavailable'});
 
-const makeConnection = (socket: Socket, session: SecureSession, options: ConnectOptions): {connection: PeerConnection; receive: (line: string) => void} => {
+const makeConnection = (socket: Socket, session: PeerSession, options: ConnectOptions): {connection: PeerConnection; receive: (line: string) => void} => {
 	const client = new JSONRPCClient(payload => {
 		const line = session.sign(JSON.stringify(payload));
 		options.bytes.sent += line.length;
--- a/packages/peers/src/peer-server.ts
+++ b/packages/peers/src/peer-server.ts
@@ -2,7 +2,7 @@
 import {createServer, type Socket} from 'node:net';
 import {listenAt} from '@shallotpass/common/listen.js';
 import {JSONRPCServer} from 'json-rpc-2.0';
-import {makeServerHandshake, type SecureSession} from './handshake.js';
+import {makeServerHandshake, type PeerSession} from './handshake.js';
 import {makeLineReader} from './line-reader.js';
 import {type ByteCounts, splitAddress} from './peer-connection.js';
 import {peerMethods, type PeerHandlers, type PeerMethod} from './peer-methods.js';
@@ -51,7 +51,7 @@
 		}
 	};
 
-	const handleRequest = async (socket: Socket, session: SecureSession, payload: string): Promise<void> => {
+	const handleRequest = async (socket: Socket, session: PeerSession, payload: string): Promise<void> => {
 		const response = await rpcServer.receiveJSON(payload, session.peerId);
 		if (response !== null) {
 			writeLine(socket, session.sign(JSON.stringify(response)));
@@ -60,7 +60,7 @@
 
 	const handleConnection = (socket: Socket): void => {
 		const handshake = makeServerHandshake(options.selfId, options.keys);
-		let session: SecureSession | undefined;
+		let session: PeerSession | undefined;
 		const refuse = (reason: string): void => {
 			refusalCount++;
 			options.onRefused(reason, socket.remoteAddress ?? 'unknown');
