--- a/packages/common/src/configuration-schema.ts
+++ b/packages/common/src/configuration-schema.ts
@@ -15,24 +15,24 @@
 const latencyClass = z.strictObject({
 	name: name.describe('Name that callers give in X-Request-Class'),
 	rank: z.int().min(0).max(1000).describe('Lower is served first'),
-	firstTokenMs: z.number().positive().optional().describe('Target for the first token, 95 in 100'),
-	betweenTokensMs: z.number().positive().optional().describe('Target between tokens, 95 in 100'),
+	firstTokenMs: z.number().positive().optional().describe('Target latency of the first token, 95th percentile'),
+	betweenTokensMs: z.number().positive().optional().describe('Target time between tokens, 95th percentile'),
 });
 
 const service = z.strictObject({
 	name: name.describe('Name in the path and in the lists of accounts and backend servers'),
-	kind: z.enum(['model', 'plain']).describe('Model engines speak chat completions; plain services speak any HTTP'),
-	models: z.array(z.string().min(1)).default([]).describe('Names that callers give as model'),
-	defaultClass: name.optional().describe('Class of calls that name none'),
+	kind: z.enum(['model', 'plain']).describe('Model services use the chat completions API; plain services use any HTTP API'),
+	models: z.array(z.string().min(1)).default([]).describe('Values of the model field that select this service'),
+	defaultClass: name.optional().describe('Class of calls that specify none'),
 	repeatable: z.boolean().optional().describe('Whether a call may run twice; false by default for plain services'),
-	pathPrefix: z.string().startsWith('/').default('/').describe('What is called at the backend server'),
+	pathPrefix: z.string().startsWith('/').default('/').describe('Path prefix on the backend server'),
 });
 
 const account = z.strictObject({
 	name: name.describe('Name of the client account'),
-	keySha256: z.array(sha256).min(1).describe('Digests of the keys; two while a key is being changed'),
+	keySha256: z.array(sha256).min(1).describe('SHA-256 digests of the keys; two during a key rotation'),
 	services: z.array(name).describe('Services the account may call'),
-	classes: z.array(name).default([]).describe('Classes the account may ask for'),
+	classes: z.array(name).default([]).describe('Classes the account may request'),
 	share: z.number().positive().default(1).describe('Weight in fair sharing'),
 	requestsPerSecond: z.number().positive().optional().describe('Limit over the whole system'),
 	tokensPerMinute: z.number().positive().optional().describe('Limit over the whole system'),
@@ -40,23 +40,23 @@
 
 const backend = z.strictObject({
 	id: z.string().min(1).describe('Name of the backend server'),
-	address: hostAndPort.describe('Where it listens'),
+	address: hostAndPort.describe('Address on which it listens'),
 	availabilityZone: name.describe('Its availability zone'),
-	machineClass: z.string().default('default').describe('Its class of machine, as in prices'),
+	machineClass: z.string().default('default').describe('Its machine class, as in the prices'),
 	services: z.array(name).min(1).describe('Services it runs'),
-	checksFencing: z.boolean().default(false).describe('Whether it refuses an order with an old fencing number'),
+	checksFencing: z.boolean().default(false).describe('Whether it refuses a call with an outdated fencing token'),
 });
 
 const price = z.strictObject({
-	availabilityZone: name.describe('Availability zone the price holds in'),
-	machineClass: z.string().describe('Class of machine'),
-	reclaimable: z.number().nonnegative().describe('Credits an hour'),
-	onDemand: z.number().nonnegative().describe('Credits an hour'),
-	places: z.int().positive().optional().describe('Answers that an instance of the class runs at once within their targets; where it is given, the system starts and ends instances of the class itself'),
+	availabilityZone: name.describe('Availability zone to which the price applies'),
+	machineClass: z.string().describe('Machine class'),
+	reclaimable: z.number().nonnegative().describe('Credits per hour of a reclaimable instance'),
+	onDemand: z.number().nonnegative().describe('Credits per hour of an on-demand instance'),
+	places: z.int().positive().optional().describe('Concurrent responses that an instance of the class handles within their targets; if set, the system starts and ends instances of the class'),
 });
 
 const configurationTablesSchema = z.strictObject({
-	creditsExpireAt: dateTime.optional().describe('When the credits end'),
+	creditsExpireAt: dateTime.optional().describe('When the credits expire'),
 	class: z.array(latencyClass).default([]),
 	service: z.array(service).default([]),
 	account: z.array(account).default([]),
--- a/packages/common/src/settings-schema.ts
+++ b/packages/common/src/settings-schema.ts
@@ -5,33 +5,33 @@
 const url = z.url({protocol: /^https?$/v, error: 'a URL such as http://127.0.0.1:7000'});
 
 const adminKey = z.strictObject({
-	name: z.string().min(1).describe('Who the key belongs to; named in the history'),
+	name: z.string().min(1).describe('Owner of the key, as shown in the history'),
 	sha256: z.string().regex(/^[\da-f]{64}$/v, '64 hexadecimal digits, the SHA-256 of the key').describe('Digest of the key'),
-	role: z.enum(['viewer', 'operator', 'administrator']).describe('Viewers read, operators apply and drain, administrators see every team'),
-	teams: z.array(z.string()).default(['default']).describe('Teams the key may see and change'),
+	role: z.enum(['viewer', 'operator', 'administrator']).describe('Viewers can read, operators can also apply configurations and drain, administrators can access every team'),
+	teams: z.array(z.string()).default(['default']).describe('Teams that the key may read and change'),
 });
 
 const limits = z.strictObject({
-	maxConnections: z.int().positive().default(5000).describe('Open connections on the callers\' listener'),
-	maxHeaderBytes: z.int().min(1024).default(16_384).describe('Header fields of one request, in bytes'),
-	maxBodyBytes: z.int().positive().default(4_194_304).describe('Body of one request, in bytes'),
-	headersWithinMs: z.int().positive().default(10_000).describe('Time for a caller to send the header fields'),
-	bodyWithinMs: z.int().positive().default(30_000).describe('Time for a caller to send the whole request'),
-	maxWaiting: z.int().nonnegative().default(1000).describe('Requests that may wait for a backend server'),
-	quietStreamMs: z.int().positive().default(5000).describe('A backend server that is silent for so long is checked on a new connection'),
-	maxRunningPerBackend: z.int().positive().default(256).describe('Requests of this daemon at one backend server'),
-	claimWindowMs: z.int().nonnegative().default(5).describe('How long a claim waits for others to share its append'),
+	maxConnections: z.int().positive().default(5000).describe('Maximum number of open connections on the listener for callers'),
+	maxHeaderBytes: z.int().min(1024).default(16_384).describe('Maximum size of the header fields of a request, in bytes'),
+	maxBodyBytes: z.int().positive().default(4_194_304).describe('Maximum size of a request body, in bytes'),
+	headersWithinMs: z.int().positive().default(10_000).describe('Time limit for a caller to send the header fields'),
+	bodyWithinMs: z.int().positive().default(30_000).describe('Time limit for a caller to send the whole request'),
+	maxWaiting: z.int().nonnegative().default(1000).describe('Maximum number of requests that wait for a backend server'),
+	quietStreamMs: z.int().positive().default(5000).describe('A backend server that sends nothing for this long is probed on a new connection'),
+	maxRunningPerBackend: z.int().positive().default(256).describe('Maximum number of concurrent requests from this daemon to one backend server'),
+	claimWindowMs: z.int().nonnegative().default(5).describe('How long claims are collected before they are appended as one batch'),
 });
 
 export const settingsSchema = z.strictObject({
 	instance: z.strictObject({
 		id: z.string().min(1).describe('Name of this instance, as on the instance list'),
-		address: z.string().default('127.0.0.1').describe('IP address that peers reach this instance at'),
+		address: z.string().default('127.0.0.1').describe('IP address at which peers reach this instance'),
 		availabilityZone: z.string().min(1).describe('Availability zone of this instance'),
 		region: z.string().default('default').describe('Region of this instance'),
 	}),
 	listen: z.strictObject({
-		callers: listenAddress.default('127.0.0.1:0').describe('Listener for callers; port 0 takes a free one'),
+		callers: listenAddress.default('127.0.0.1:0').describe('Listener for callers; port 0 selects a free port'),
 		admin: listenAddress.default('127.0.0.1:0').describe('Listener for operators'),
 		peers: listenAddress.default('127.0.0.1:0').describe('Listener for other daemons'),
 	}).default({callers: '127.0.0.1:0', admin: '127.0.0.1:0', peers: '127.0.0.1:0'}),
@@ -39,22 +39,22 @@
 		log: url.describe('Base URL of the log service'),
 		instances: url.optional().describe('Base URL of the instance list'),
 		cloud: url.optional().describe('Base URL of the cloud API'),
-		weights: url.optional().describe('Base URL of the weight store'),
-		logRetentionHours: z.number().positive().default(24).describe('How long the log keeps records; must exceed the key memory'),
+		weights: url.optional().describe('Base URL of the model weight store'),
+		logRetentionHours: z.number().positive().default(24).describe('How long the log keeps records; must exceed the retention of idempotency keys'),
 	}).optional(),
 	peers: z.strictObject({
-		seeds: z.array(listenAddress).default([]).describe('Addresses of peers to start from'),
-		keys: z.array(z.string().min(16, 'a key of at least 16 characters')).default([]).describe('Shared keys; the first signs, all are accepted'),
-		probeEveryMs: z.int().positive().default(1000).describe('Time between two probes'),
-		suspectForMs: z.int().positive().default(4000).describe('Time a suspected peer has to speak up'),
+		seeds: z.array(listenAddress).default([]).describe('Addresses of initial peers'),
+		keys: z.array(z.string().min(16, 'a key of at least 16 characters')).default([]).describe('Shared keys; the first is used to authenticate, all are accepted'),
+		probeEveryMs: z.int().positive().default(1000).describe('Interval between probes'),
+		suspectForMs: z.int().positive().default(4000).describe('Time in which a suspected peer can prove that it is alive'),
 	}).default({
 		seeds: [], keys: [], probeEveryMs: 1000, suspectForMs: 4000,
 	}),
 	adminKey: z.array(adminKey).default([]),
 	limits: limits.default(limits.parse({})),
 	tracing: z.strictObject({
-		otlp: url.optional().describe('OTLP/HTTP endpoint for spans; the log takes them without one'),
-		sampleRatio: z.number().min(0).max(1).default(0.01).describe('Share of traces kept when the caller decides nothing'),
+		otlp: url.optional().describe('OTLP/HTTP endpoint for spans; without it, spans are logged'),
+		sampleRatio: z.number().min(0).max(1).default(0.01).describe('Share of traces to sample if the caller makes no sampling decision'),
 	}).default({sampleRatio: 0.01}),
 });
 
