--- a/apps/cli/src/admin-client.ts
+++ b/apps/cli/src/admin-client.ts
@@ -1,9 +1,9 @@
-/** Talks to a daemon's operators' listener. */
+/** HTTP client for the admin listener of a daemon. */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 import {request} from 'undici';
 
-export type Target = {
+export type AdminTarget = {
 	readonly url: string;
 	readonly key: string;
 };
@@ -14,7 +14,7 @@
 	readonly etag: string | undefined;
 };
 
-/** The exit code that a failure leads to; `unknown` is never told as a failure of the operation. */
+/** Ends the command with a message and an exit code. If the outcome of an operation is unknown, the exit code is `unknown` and not `refused`. */
 export class CliError extends Error {
 	override readonly name = 'CliError';
 	readonly exitCode: number;
@@ -26,41 +26,43 @@
 }
 
 export const exitCodes = {
-	done: 0,
+	success: 0,
 	refused: 1,
 	usage: 2,
 	unknown: 3,
 } as const;
 
-const timeoutMs = 10_000;
+const requestTimeoutMs = 10_000;
 
-export const findTarget = (admin: string | undefined, key: string | undefined): Target => {
+/** Returns the target from the command line options, or from the environment variables if an option is missing. */
+export const resolveTarget = (admin: string | undefined, key: string | undefined): AdminTarget => {
 	const url = admin ?? process.env.SHALLOTPASS_ADMIN;
 	const secret = key ?? process.env.SHALLOTPASS_KEY;
 	if (url === undefined || url === '') {
-		throw new CliError('no daemon is named: give --admin URL or set SHALLOTPASS_ADMIN', exitCodes.usage);
+		throw new CliError('no daemon is named: pass --admin URL or set SHALLOTPASS_ADMIN', exitCodes.usage);
 	}
 
 	if (secret === undefined || secret === '') {
-		throw new CliError('no key is given: give --key KEY or set SHALLOTPASS_KEY', exitCodes.usage);
+		throw new CliError('no operator key: pass --key KEY or set SHALLOTPASS_KEY', exitCodes.usage);
 	}
 
 	return {url: url.includes('://') ? url : `http://${url}`, key: secret};
 };
 
-type CallOptions = {
+type RequestOptions = {
 	readonly method?: 'GET' | 'PUT' | 'POST' | 'DELETE';
 	readonly body?: string;
 	readonly headers?: Readonly<Record<string, string>>;
 };
 
-export const callAdmin = async (target: Target, path: string, options: CallOptions = {}): Promise<AdminResponse> => {
+/** Sends a request and returns the response, whatever its status. Throws if there is none. */
+export const callAdmin = async (target: AdminTarget, path: string, options: RequestOptions = {}): Promise<AdminResponse> => {
 	try {
 		const response = await request(new URL(path, target.url), {
 			method: options.method ?? 'GET',
 			body: options.body,
 			headers: {authorization: `Bearer ${target.key}`, ...options.headers},
-			signal: AbortSignal.timeout(timeoutMs),
+			signal: AbortSignal.timeout(requestTimeoutMs),
 		});
 		const {etag} = response.headers;
 		return {
@@ -73,30 +75,32 @@
 	}
 };
 
-type Problem = {readonly title: string; readonly detail: string; readonly executed: string; readonly kind: string};
+/** Fields of an error response (RFC 9457) that the tool uses. */
+type ProblemDetails = {readonly title: string; readonly detail: string; readonly executed: string; readonly kind: string};
 
-/** The error for an answer that is no success. */
-export const makeRefusal = (response: AdminResponse): CliError => {
+/** Converts an unsuccessful response into an error. */
+export const makeResponseError = (response: AdminResponse): CliError => {
 	try {
-		const problem = JSON.parse(response.text) as Problem;
+		const problem = JSON.parse(response.text) as ProblemDetails;
 		const isUnknown = problem.executed === 'unknown' || problem.kind === 'platform_unavailable';
-		const prefix = isUnknown ? 'not known: ' : '';
+		const prefix = isUnknown ? 'outcome unknown: ' : '';
 		return new CliError(`${prefix}${problem.title}: ${problem.detail}`, isUnknown ? exitCodes.unknown : exitCodes.refused);
 	} catch {
-		return new CliError(`the daemon answered with status ${response.status}`, exitCodes.unknown);
+		return new CliError(`the daemon sent status ${response.status} without a readable error`, exitCodes.unknown);
 	}
 };
 
-export const readJson = async (target: Target, path: string, options: CallOptions = {}): Promise<unknown> => {
+/** Sends a request and returns the JSON body of the response. Throws if the response is unsuccessful. */
+export const fetchJson = async (target: AdminTarget, path: string, options: RequestOptions = {}): Promise<unknown> => {
 	const response = await callAdmin(target, path, options);
 	if (response.status >= 300) {
-		throw makeRefusal(response);
+		throw makeResponseError(response);
 	}
 
 	return JSON.parse(response.text);
 };
 
-export const readFile = (fileName: string): string => {
+export const readTextFile = (fileName: string): string => {
 	try {
 		return readFileSync(fileName, 'utf8');
 	} catch (error) {
--- a/apps/cli/src/apply.ts
+++ b/apps/cli/src/apply.ts
@@ -1,134 +1,137 @@
-/** `apply`: one file, once, whatever happens to replies; with `--wait` until it is in force everywhere. */
+/** Implements `shallotpass apply`. All attempts carry the same id, so that a lost response does not cause the file to be applied twice. */
 import {randomUUID} from 'node:crypto';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
-	callAdmin, CliError, exitCodes, makeRefusal, readJson, type AdminResponse, type Target,
+	callAdmin, CliError, exitCodes, makeResponseError, fetchJson, type AdminResponse, type AdminTarget,
 } from './admin-client.js';
 import {printJson, printLine} from './print.js';
 
 export type ApplyOptions = {
-	readonly target: Target;
+	readonly target: AdminTarget;
 	readonly team: string;
 	readonly toml: string;
 	readonly wait: boolean;
 	readonly json: boolean;
-	/** Version the file was made from; the accepted one when not given. */
+	/** Version that the file is based on. Defaults to the accepted version. */
 	readonly base: number | undefined;
 };
 
-type Applied = {readonly id: string; readonly version: number};
+type ApplyResult = {readonly id: string; readonly version: number};
 
-type Zone = {readonly members: number; readonly silent: readonly string[]; readonly versions: Readonly<Record<string, number>>};
+type ZoneStatus = {readonly members: number; readonly silent: readonly string[]; readonly versions: Readonly<Record<string, number>>};
 
-const mostTries = 3;
-const retryMs = 500;
-const waitWithinMs = 30_000;
-const lookEveryMs = 100;
+const maxAttempts = 3;
+const retryDelayMs = 500;
+const waitTimeoutMs = 30_000;
+const pollIntervalMs = 100;
 
-const makePath = (team: string): string => `/admin/v1/teams/${encodeURIComponent(team)}/configuration`;
+const makeConfigurationPath = (team: string): string => `/admin/v1/teams/${encodeURIComponent(team)}/configuration`;
 
-const readBase = async (target: Target, team: string): Promise<number> => {
-	const response = await callAdmin(target, makePath(team));
+/** Returns -1 if the team has no configuration. */
+const fetchAcceptedVersion = async (target: AdminTarget, team: string): Promise<number> => {
+	const response = await callAdmin(target, makeConfigurationPath(team));
 	if (response.status === 404) {
 		return -1;
 	}
 
 	if (response.status >= 300 || response.etag === undefined) {
-		throw makeRefusal(response);
+		throw makeResponseError(response);
 	}
 
 	return Number(response.etag);
 };
 
-const isUnclear = (response: AdminResponse | undefined): boolean =>
+const isOutcomeUnknown = (response: AdminResponse | undefined): boolean =>
 	response === undefined || response.status === 504 || response.status === 503;
 
-/** Sends with one id until the answer is clear. The same id is never applied twice. */
-const sendUntilClear = async (options: ApplyOptions, base: number): Promise<Applied> => {
+/** Sends the file, and sends it again under the same id while the outcome is unknown. The daemon applies an id at most once. */
+const applyWithRetries = async (options: ApplyOptions, base: number): Promise<ApplyResult> => {
 	const id = randomUUID();
-	let lastReason = 'no answer';
-	for (let tries = 0; tries < mostTries; tries++) {
+	let lastFailure = 'no response';
+	for (let attempt = 0; attempt < maxAttempts; attempt++) {
 		let response: AdminResponse | undefined;
 		try {
-			// eslint-disable-next-line no-await-in-loop -- the next only when this answer is unclear
-			response = await callAdmin(options.target, makePath(options.team), {
+			// eslint-disable-next-line no-await-in-loop -- the next attempt depends on the outcome of this one
+			response = await callAdmin(options.target, makeConfigurationPath(options.team), {
 				method: 'PUT',
 				body: options.toml,
 				headers: {'if-match': String(base), 'x-apply-id': id},
 			});
 		} catch (error) {
-			lastReason = error instanceof Error ? error.message : lastReason;
+			lastFailure = error instanceof Error ? error.message : lastFailure;
 		}
 
-		if (response !== undefined && !isUnclear(response)) {
+		if (response !== undefined && !isOutcomeUnknown(response)) {
 			if (response.status >= 300) {
-				throw makeRefusal(response);
+				throw makeResponseError(response);
 			}
 
-			return JSON.parse(response.text) as Applied;
+			return JSON.parse(response.text) as ApplyResult;
 		}
 
-		lastReason = response === undefined ? lastReason : makeRefusal(response).message;
-		await sleep(retryMs); // eslint-disable-line no-await-in-loop -- between tries
+		lastFailure = response === undefined ? lastFailure : makeResponseError(response).message;
+		await sleep(retryDelayMs); // eslint-disable-line no-await-in-loop -- pause between attempts
 	}
 
-	throw new CliError(`not known whether apply ${id} was recorded (${lastReason}); look for it with: shallotpass history --team ${options.team}`, exitCodes.unknown);
+	throw new CliError(`not known whether apply ${id} was recorded (${lastFailure}); check with: shallotpass history --team ${options.team}`, exitCodes.unknown);
 };
 
-const readZones = async (target: Target): Promise<Readonly<Record<string, Zone>>> => {
-	const status = await readJson(target, '/admin/v1/status') as {zones: Readonly<Record<string, Zone>>};
+const fetchZones = async (target: AdminTarget): Promise<Readonly<Record<string, ZoneStatus>>> => {
+	const status = await fetchJson(target, '/admin/v1/status') as {zones: Readonly<Record<string, ZoneStatus>>};
 	return status.zones;
 };
 
-const isInForce = (zone: Zone, team: string, version: number): boolean =>
+const isInForce = (zone: ZoneStatus, team: string, version: number): boolean =>
 	zone.silent.length === 0 && (zone.versions[team] ?? -1) >= version;
 
-const describeZone = (name: string, zone: Zone, team: string, version: number): string => {
+const describeZone = (name: string, zone: ZoneStatus, team: string, version: number): string => {
 	if (isInForce(zone, team, version)) {
 		return `${name}: in force on ${zone.members} of ${zone.members}`;
 	}
 
-	const silent = zone.silent.length > 0 ? `, no answer from ${zone.silent.join(', ')}` : '';
-	return `${name}: not known to be in force on all ${zone.members}${silent}`;
+	const silent = zone.silent.length > 0 ? `, no response from ${zone.silent.join(', ')}` : '';
+	return `${name}: not confirmed to be in force on all ${zone.members}${silent}`;
 };
 
-const waitUntilInForce = async ({target, team}: ApplyOptions, version: number): Promise<Readonly<Record<string, Zone>>> => {
-	const giveUpAt = Date.now() + waitWithinMs;
+/** Polls the daemon until the version is in force in every zone, or until the timeout. Returns the last known state of the zones. */
+const waitUntilInForce = async ({target, team}: ApplyOptions, version: number): Promise<Readonly<Record<string, ZoneStatus>>> => {
+	const deadline = Date.now() + waitTimeoutMs;
 	for (;;) {
-		const zones = await readZones(target); // eslint-disable-line no-await-in-loop -- polls
-		const isEverywhere = Object.values(zones).every(zone => isInForce(zone, team, version));
-		if (isEverywhere || Date.now() > giveUpAt) {
+		const zones = await fetchZones(target); // eslint-disable-line no-await-in-loop -- polls
+		const isInForceEverywhere = Object.values(zones).every(zone => isInForce(zone, team, version));
+		if (isInForceEverywhere || Date.now() > deadline) {
 			return zones;
 		}
 
-		await sleep(lookEveryMs); // eslint-disable-line no-await-in-loop -- polls
+		await sleep(pollIntervalMs); // eslint-disable-line no-await-in-loop -- polls
 	}
 };
 
-const reportZones = (options: ApplyOptions, applied: Applied, zones: Readonly<Record<string, Zone>>): void => {
-	const isEverywhere = Object.values(zones).every(zone => isInForce(zone, options.team, applied.version));
+/** Prints the state of the zones. Throws if the version is not in force in all of them. */
+const printZones = (options: ApplyOptions, applied: ApplyResult, zones: Readonly<Record<string, ZoneStatus>>): void => {
+	const isInForceEverywhere = Object.values(zones).every(zone => isInForce(zone, options.team, applied.version));
 	if (options.json) {
-		printJson({...applied, isInForce: isEverywhere, zones});
+		printJson({...applied, isInForce: isInForceEverywhere, zones});
 	} else {
 		for (const [name, zone] of Object.entries(zones)) {
 			printLine(describeZone(name, zone, options.team, applied.version));
 		}
 	}
 
-	if (!isEverywhere) {
-		throw new CliError(`version ${applied.version} is accepted; not known yet to be in force everywhere`, exitCodes.unknown);
+	if (!isInForceEverywhere) {
+		throw new CliError(`version ${applied.version} is accepted, but not confirmed to be in force in every availability zone`, exitCodes.unknown);
 	}
 };
 
 export const runApply = async (options: ApplyOptions): Promise<void> => {
-	const base = options.base ?? await readBase(options.target, options.team);
-	const applied = await sendUntilClear(options, base);
+	const base = options.base ?? await fetchAcceptedVersion(options.target, options.team);
+	const applied = await applyWithRetries(options, base);
 	if (!options.json) {
 		printLine(`accepted as version ${applied.version} (apply ${applied.id})`);
 	}
 
 	if (options.wait) {
-		reportZones(options, applied, await waitUntilInForce(options, applied.version));
+		printZones(options, applied, await waitUntilInForce(options, applied.version));
 		return;
 	}
 
--- a/apps/cli/src/commands.ts
+++ b/apps/cli/src/commands.ts
@@ -1,11 +1,11 @@
-/** Every command of the operator's tool; the operators' page is checked against this table. */
+/** Commands of the `shallotpass` command line tool. A test compares them with the list in the README. */
 import {defineCommand} from 'citty';
 import {configurationSchema} from '@shallotpass/common/configuration-schema.js';
 import {formatMistake, readToml} from '@shallotpass/common/toml-file.js';
 import {explainRequest} from '@shallotpass/gateway/telemetry/explain-request.js';
 import {runExperiment} from '@shallotpass/measure/run-experiment.js';
 import {
-	callAdmin, CliError, exitCodes, findTarget, makeRefusal, readFile, readJson,
+	callAdmin, CliError, exitCodes, resolveTarget, makeResponseError, readTextFile, fetchJson,
 } from './admin-client.js';
 import {runApply} from './apply.js';
 import {
@@ -13,26 +13,26 @@
 } from './print.js';
 
 const targetArguments = {
-	admin: {type: 'string', description: 'URL of a daemon\'s operators\' listener (SHALLOTPASS_ADMIN)'},
-	key: {type: 'string', description: 'Operator\'s key (SHALLOTPASS_KEY)'},
+	admin: {type: 'string', description: 'URL of the admin listener of a daemon (default: SHALLOTPASS_ADMIN)'},
+	key: {type: 'string', description: 'Operator key (default: SHALLOTPASS_KEY)'},
 	json: {type: 'boolean', description: 'Print JSON'},
 } as const;
 
 const teamArgument = {
-	team: {type: 'string', default: 'default', description: 'Team whose configuration is meant'},
+	team: {type: 'string', default: 'default', description: 'Team that the configuration belongs to'},
 } as const;
 
 const fileArgument = {
 	file: {type: 'positional', required: true, description: 'Configuration file in TOML'},
 } as const;
 
-const makeTeamPath = (team: string, what: string): string => `/admin/v1/teams/${encodeURIComponent(team)}/${what}`;
+const makeTeamPath = (team: string, resource: string): string => `/admin/v1/teams/${encodeURIComponent(team)}/${resource}`;
 
 const check = defineCommand({
-	meta: {name: 'check', description: 'Check a configuration file without any daemon'},
+	meta: {name: 'check', description: 'Check a configuration file without a daemon'},
 	args: {...fileArgument, json: targetArguments.json},
 	run({args}) {
-		const reading = readToml(readFile(args.file), configurationSchema);
+		const reading = readToml(readTextFile(args.file), configurationSchema);
 		if (reading.kind === 'mistakes') {
 			const lines = reading.mistakes.map(mistake => formatMistake(args.file, mistake));
 			if (args.json) {
@@ -47,53 +47,53 @@
 			return;
 		}
 
-		printLine(`${args.file}: no mistakes`);
+		printLine(`${args.file}: no errors found`);
 	},
 });
 
 const explain = defineCommand({
-	meta: {name: 'explain', description: 'Tell the story of one request from the logs of several daemons'},
+	meta: {name: 'explain', description: 'Show what happened to a request, from the logs of one or more daemons'},
 	args: {
-		request: {type: 'positional', required: true, description: 'Id of the request'},
-		logs: {type: 'positional', required: true, description: 'Log files; more may follow'},
+		request: {type: 'positional', required: true, description: 'Request id'},
+		logs: {type: 'positional', required: true, description: 'One or more log files'},
 	},
 	run({args}) {
 		const files = args._.slice(1);
-		const story = explainRequest(args.request, files.map(file => readFile(file)));
-		if (story.length === 0) {
-			throw new CliError(`no line of ${files.join(', ')} is about the request ${args.request}`, exitCodes.refused);
+		const timeline = explainRequest(args.request, files.map(file => readTextFile(file)));
+		if (timeline.length === 0) {
+			throw new CliError(`no log line in ${files.join(', ')} mentions the request ${args.request}`, exitCodes.refused);
 		}
 
-		for (const line of story) {
+		for (const line of timeline) {
 			printLine(line);
 		}
 	},
 });
 
 const plan = defineCommand({
-	meta: {name: 'plan', description: 'Show what a file would change'},
+	meta: {name: 'plan', description: 'Show what a configuration file would change'},
 	args: {...fileArgument, ...teamArgument, ...targetArguments},
 	async run({args}) {
-		const target = findTarget(args.admin, args.key);
-		const planned = await readJson(target, `${makeTeamPath(args.team, 'configuration')}?dryRun=1`, {method: 'PUT', body: readFile(args.file)}) as {base: number; changes: Row[]};
+		const target = resolveTarget(args.admin, args.key);
+		const planned = await fetchJson(target, `${makeTeamPath(args.team, 'configuration')}?dryRun=1`, {method: 'PUT', body: readTextFile(args.file)}) as {base: number; changes: Row[]};
 		if (args.json) {
 			printJson(planned);
 			return;
 		}
 
-		printLine(`against version ${planned.base}:`);
+		printLine(`changes to version ${planned.base}:`);
 		printTable(planned.changes, ['change', 'table', 'name']);
 	},
 });
 
 const apply = defineCommand({
-	meta: {name: 'apply', description: 'Apply a configuration file as a whole'},
+	meta: {name: 'apply', description: 'Replace the configuration of a team with a file'},
 	args: {
 		...fileArgument,
 		...teamArgument,
 		...targetArguments,
-		base: {type: 'string', description: 'Version the file was made from; the accepted one when left out'},
-		wait: {type: 'boolean', description: 'Wait until it is in force in every availability zone'},
+		base: {type: 'string', description: 'Version that the file is based on (default: the accepted version)'},
+		wait: {type: 'boolean', description: 'Wait until the configuration is in force in every availability zone'},
 	},
 	async run({args}) {
 		const base = args.base === undefined ? undefined : Number(args.base);
@@ -102,9 +102,9 @@
 		}
 
 		await runApply({
-			target: findTarget(args.admin, args.key),
+			target: resolveTarget(args.admin, args.key),
 			team: args.team,
-			toml: readFile(args.file),
+			toml: readTextFile(args.file),
 			wait: args.wait ?? false,
 			json: args.json ?? false,
 			base,
@@ -116,9 +116,9 @@
 	meta: {name: 'show', description: 'Print the accepted configuration'},
 	args: {...teamArgument, ...targetArguments},
 	async run({args}) {
-		const response = await callAdmin(findTarget(args.admin, args.key), makeTeamPath(args.team, 'configuration'));
+		const response = await callAdmin(resolveTarget(args.admin, args.key), makeTeamPath(args.team, 'configuration'));
 		if (response.status >= 300) {
-			throw makeRefusal(response);
+			throw makeResponseError(response);
 		}
 
 		if (args.json) {
@@ -131,12 +131,12 @@
 	},
 });
 
-/** A command that reads one list and prints it. */
+/** Makes a command that fetches a list from the daemon and prints it. */
 const makeListCommand = (name: string, description: string, path: string, columns: readonly string[]) => defineCommand({
 	meta: {name, description},
 	args: targetArguments,
 	async run({args}) {
-		const body = await readJson(findTarget(args.admin, args.key), path) as Readonly<Record<string, Row[]>>;
+		const body = await fetchJson(resolveTarget(args.admin, args.key), path) as Readonly<Record<string, Row[]>>;
 		if (args.json) {
 			printJson(body);
 			return;
@@ -147,10 +147,10 @@
 });
 
 const history = defineCommand({
-	meta: {name: 'history', description: 'Who applied what, and what became of it'},
+	meta: {name: 'history', description: 'List who applied a configuration, when, and whether it was accepted'},
 	args: {...teamArgument, ...targetArguments},
 	async run({args}) {
-		const body = await readJson(findTarget(args.admin, args.key), makeTeamPath(args.team, 'history')) as {entries: Row[]};
+		const body = await fetchJson(resolveTarget(args.admin, args.key), makeTeamPath(args.team, 'history')) as {entries: Row[]};
 		if (args.json) {
 			printJson(body);
 			return;
@@ -162,10 +162,10 @@
 });
 
 const status = defineCommand({
-	meta: {name: 'status', description: 'State of a daemon and of each availability zone'},
+	meta: {name: 'status', description: 'Show the state of a daemon and of each availability zone'},
 	args: targetArguments,
 	async run({args}) {
-		const body = await readJson(findTarget(args.admin, args.key), '/admin/v1/status') as Row & {zones: Readonly<Record<string, Row>>};
+		const body = await fetchJson(resolveTarget(args.admin, args.key), '/admin/v1/status') as Row & {zones: Readonly<Record<string, Row>>};
 		if (args.json) {
 			printJson(body);
 			return;
@@ -178,20 +178,20 @@
 });
 
 const quarantine = defineCommand({
-	meta: {name: 'quarantine', description: 'Requests suspected of ending backend servers; lift one'},
+	meta: {name: 'quarantine', description: 'List requests suspected of crashing backend servers, or lift the quarantine of one'},
 	args: {
 		...targetArguments,
-		lift: {type: 'string', description: 'Fingerprint of the request to run again'},
+		lift: {type: 'string', description: 'Fingerprint of the request that may run again'},
 	},
 	async run({args}) {
-		const target = findTarget(args.admin, args.key);
+		const target = resolveTarget(args.admin, args.key);
 		if (args.lift !== undefined) {
-			const lifted = await readJson(target, `/admin/v1/quarantine/${encodeURIComponent(args.lift)}`, {method: 'DELETE'});
+			const lifted = await fetchJson(target, `/admin/v1/quarantine/${encodeURIComponent(args.lift)}`, {method: 'DELETE'});
 			printJson(lifted);
 			return;
 		}
 
-		const body = await readJson(target, '/admin/v1/quarantine') as {suspects: Row[]};
+		const body = await fetchJson(target, '/admin/v1/quarantine') as {suspects: Row[]};
 		if (args.json) {
 			printJson(body);
 			return;
@@ -202,23 +202,23 @@
 });
 
 const drain = defineCommand({
-	meta: {name: 'drain', description: 'Let a daemon finish what runs and stop'},
+	meta: {name: 'drain', description: 'Stop a daemon after its running requests have finished'},
 	args: targetArguments,
 	async run({args}) {
-		printJson(await readJson(findTarget(args.admin, args.key), '/admin/v1/drain', {method: 'POST'}));
+		printJson(await fetchJson(resolveTarget(args.admin, args.key), '/admin/v1/drain', {method: 'POST'}));
 	},
 });
 
 const measure = defineCommand({
-	meta: {name: 'measure', description: 'Run an experiment on stand-ins; the last line is one JSON object'},
+	meta: {name: 'measure', description: 'Run an experiment with stand-ins for the external services; the last output line is a JSON object'},
 	args: {
-		experiment: {type: 'positional', required: true, description: 'Name of an experiment, or a TOML file of one'},
-		seed: {type: 'string', description: 'Seed of the random numbers'},
+		experiment: {type: 'positional', required: true, description: 'Name of an experiment, or path of its TOML file'},
+		seed: {type: 'string', description: 'Seed for random numbers'},
 	},
 	async run({args}) {
 		const seed = args.seed === undefined ? undefined : Number(args.seed);
 		if (seed !== undefined && !Number.isInteger(seed)) {
-			throw new CliError(`--seed must be a whole number, found ${args.seed}`, exitCodes.usage);
+			throw new CliError(`--seed must be an integer, found ${args.seed}`, exitCodes.usage);
 		}
 
 		try {
@@ -237,8 +237,8 @@
 	show,
 	history,
 	status,
-	members: makeListCommand('members', 'Daemons of the region', '/admin/v1/members', ['id', 'availabilityZone', 'status', 'address']),
-	backends: makeListCommand('backends', 'Backend servers as the daemon sees them', '/admin/v1/backends', ['id', 'availabilityZone', 'services', 'isLeaving', 'running', 'price', 'address']),
+	members: makeListCommand('members', 'List the daemons of the region', '/admin/v1/members', ['id', 'availabilityZone', 'status', 'address']),
+	backends: makeListCommand('backends', 'List the backend servers that the daemon knows', '/admin/v1/backends', ['id', 'availabilityZone', 'services', 'isLeaving', 'running', 'price', 'address']),
 	quarantine,
 	drain,
 	measure,
--- a/apps/cli/src/main.ts
+++ b/apps/cli/src/main.ts
@@ -1,22 +1,23 @@
-/** `shallotpass`: the operator's tool. Exit codes: 0 done, 1 refused, 2 usage, 3 unreachable or unknown. */
+/** Entry point of the `shallotpass` command line tool. Exit codes: 0 success, 1 refused, 2 usage error, 3 daemon unreachable or outcome unknown. */
 import process from 'node:process';
 import {defineCommand, runCommand, showUsage} from 'citty';
 import {CliError, exitCodes} from './admin-client.js';
 import {commands} from './commands.js';
 
 const main = defineCommand({
-	meta: {name: 'shallotpass', description: 'Operates a shallotpass system'},
+	meta: {name: 'shallotpass', description: 'Command line tool for shallotpass operators'},
 	subCommands: commands,
 });
 
+/** Whether the error comes from citty, which throws it for invalid arguments. */
 const isUsageError = (error: unknown): error is Error => error instanceof Error && error.name === 'CLIError';
 
-const run = async (words: string[]): Promise<number> => {
-	const [name = ''] = words;
+const run = async (args: string[]): Promise<number> => {
+	const [name = ''] = args;
 	const command = Object.hasOwn(commands, name) ? commands[name as keyof typeof commands] : undefined;
-	if (words.includes('--help') || words.includes('-h')) {
+	if (args.includes('--help') || args.includes('-h')) {
 		await (command === undefined ? showUsage(main) : showUsage(command as typeof main, main));
-		return exitCodes.done;
+		return exitCodes.success;
 	}
 
 	if (command === undefined) {
@@ -25,8 +26,8 @@
 	}
 
 	try {
-		await runCommand(main, {rawArgs: words});
-		return exitCodes.done;
+		await runCommand(main, {rawArgs: args});
+		return exitCodes.success;
 	} catch (error) {
 		if (error instanceof CliError) {
 			process.stderr.write(`${error.message}\n`);
--- a/apps/cli/src/print.ts
+++ b/apps/cli/src/print.ts
@@ -1,4 +1,4 @@
-/** What commands print: tables for people, JSON for programs. */
+/** Output of the commands: tables for people and JSON for programs. */
 import process from 'node:process';
 
 export type Row = Readonly<Record<string, unknown>>;
--- a/apps/daemon/src/observe-fleet.ts
+++ b/apps/daemon/src/demand-meter.ts
@@ -1,4 +1,4 @@
-/** What fleet duty sees of the work: offers from the configuration, places in use from the engines' load reports. */
+/** Measures demand and capacity for fleet scaling, from the offers in the configuration and the load reports of the engines. */
 import {type CloudInstance} from '@shallotpass/common/cloud-service.js';
 import {type Clock} from '@shallotpass/common/clock.js';
 import {forecastDemand, smoothDemand, type SmoothedDemand} from '@shallotpass/core/fleet/smooth-demand.js';
@@ -7,20 +7,20 @@
 import {type FleetDemand} from '@shallotpass/tasks/fleet-duty.js';
 import {type ActiveConfigurations} from '@shallotpass/tasks/active-configurations.js';
 
-type ObserveOptions = {
+type DemandMeterOptions = {
 	readonly clock: Clock;
-	readonly getInForce: () => ActiveConfigurations;
+	readonly getActiveConfigurations: () => ActiveConfigurations;
 	readonly listEngines: () => readonly BackendView[];
-	/** Requests that wait for an engine in the whole region, estimated from those that wait here. */
+	/** Estimates how many requests wait for an engine in the whole region from those waiting in this daemon. */
 	readonly countWaiting: () => number;
 };
 
 const smoothing = {fallMs: 3_600_000, slopeMs: 240_000};
 
-/** From an order to an engine that has its model loaded; a start that takes longer finds the rise not covered for the difference. */
-const startMs = 240_000;
+/** Time from ordering an instance until its engine has loaded the model. If a start takes longer, a rise in demand is not covered for the difference. */
+const engineStartMs = 240_000;
 
-export const listOffers = (inForce: ActiveConfigurations): Offer[] => [...inForce.teams.values()]
+export const listOffers = (configurations: ActiveConfigurations): Offer[] => [...configurations.teams.values()]
 	.flatMap(({configuration}) => configuration.price)
 	.flatMap(({availabilityZone, machineClass, reclaimable, onDemand, places}) => places === undefined
 		? []
@@ -33,22 +33,23 @@
 			},
 		]);
 
+/** Returns the places that the engine's machine class offers, or the engine's limit if no offer has that class. */
 const countPlaces = (engine: BackendView, offers: readonly Offer[]): number =>
 	offers.find(offer => offer.machineClass === engine.machineClass)?.places ?? engine.limit;
 
-export const makeObserveFleet = ({clock, getInForce, listEngines, countWaiting}: ObserveOptions) => {
+export const makeDemandMeter = ({clock, getActiveConfigurations, listEngines, countWaiting}: DemandMeterOptions) => {
 	let smoothed: SmoothedDemand | undefined;
 	return (instances: readonly CloudInstance[]): FleetDemand => {
-		const started = new Set(instances.map(instance => instance.id));
-		const offers = listOffers(getInForce());
+		const startedIds = new Set(instances.map(instance => instance.id));
+		const offers = listOffers(getActiveConfigurations());
 		let fixedPlaces = 0;
-		let used = countWaiting();
+		let usedPlaces = countWaiting();
 		for (const engine of listEngines()) {
-			used += (engine.report?.running ?? engine.running) + (engine.report?.queued ?? 0);
-			fixedPlaces += started.has(engine.id) || engine.isLeaving ? 0 : countPlaces(engine, offers);
+			usedPlaces += (engine.report?.running ?? engine.running) + (engine.report?.queued ?? 0);
+			fixedPlaces += startedIds.has(engine.id) || engine.isLeaving ? 0 : countPlaces(engine, offers);
 		}
 
-		smoothed = smoothDemand(smoothed, used, clock.now(), smoothing);
-		return {offers, fixedPlaces, demandPlaces: forecastDemand(smoothed, startMs)};
+		smoothed = smoothDemand(smoothed, usedPlaces, clock.now(), smoothing);
+		return {offers, fixedPlaces, demandPlaces: forecastDemand(smoothed, engineStartMs)};
 	};
 };
--- a/apps/daemon/src/follow-platform.ts
+++ b/apps/daemon/src/follow-platform.ts
@@ -1,4 +1,4 @@
-/** Passes what the platform tells of instances on to the tasks that own the matter. */
+/** Forwards the instance list and the reclaim notices of the platform to the tasks that use them. */
 import {followNotices} from '@shallotpass/provider/cloud-notices.js';
 import {followInstanceList} from '@shallotpass/provider/instance-list-client.js';
 import {type BackendRegistry} from '@shallotpass/tasks/backend-registry.js';
@@ -11,11 +11,11 @@
 	readonly platform: Platform;
 	readonly registry: BackendRegistry;
 	readonly membership: MembershipTask;
-	/** The cloud takes this daemon's own instance away. */
-	readonly onOwnReclaim: () => void;
+	/** Called when the cloud announces that it reclaims the instance of this daemon. */
+	readonly onSelfReclaimed: () => void;
 };
 
-const followList = ({environment, platform, registry, membership}: FollowOptions, baseUrl: string): void => {
+const forwardInstanceList = ({environment, platform, registry, membership}: FollowOptions, baseUrl: string): void => {
 	const logger = environment.makeLogger('daemon');
 	void followInstanceList({
 		baseUrl,
@@ -28,14 +28,14 @@
 				return;
 			}
 
-			const entries = event.list.instances.filter(instance => instance.role === 'entry' && instance.state === 'live');
+			const entryInstances = event.list.instances.filter(instance => instance.role === 'entry' && instance.state === 'live');
 			registry.applyInstanceList(event.list);
-			membership.addCandidateAddresses(entries.map(instance => instance.address));
+			membership.addCandidateAddresses(entryInstances.map(instance => instance.address));
 		},
 	});
 };
 
-const followReclaims = ({environment, platform, registry, onOwnReclaim}: FollowOptions, baseUrl: string): void => {
+const forwardReclaimNotices = ({environment, platform, registry, onSelfReclaimed}: FollowOptions, baseUrl: string): void => {
 	const logger = environment.makeLogger('daemon');
 	void followNotices({
 		baseUrl,
@@ -45,7 +45,7 @@
 		onNotice({instanceId, leavesAt}) {
 			if (instanceId === environment.settings.instance.id) {
 				logger.warn('own_instance_reclaimed', {leavesAt});
-				onOwnReclaim();
+				onSelfReclaimed();
 				return;
 			}
 
@@ -57,14 +57,14 @@
 	});
 };
 
-/** Follows the instance list and the reclaim notices, where the settings name them, until the daemon stops. */
+/** Follows the instance list and the reclaim notices until the daemon stops, if the settings contain their addresses. */
 export const followPlatform = (options: FollowOptions): void => {
 	const {instancesUrl, cloudUrl} = options.platform;
 	if (instancesUrl !== undefined) {
-		followList(options, instancesUrl);
+		forwardInstanceList(options, instancesUrl);
 	}
 
 	if (cloudUrl !== undefined) {
-		followReclaims(options, cloudUrl);
+		forwardReclaimNotices(options, cloudUrl);
 	}
 };
--- a/apps/daemon/src/ignore-early-signals.ts
+++ b/apps/daemon/src/ignore-early-signals.ts
@@ -1,8 +1,8 @@
 /**
- * Imported before all else. A process that has not asked for SIGHUP dies of it, and the platform may
- * say that the settings have changed while this one still loads its modules, for 0.1 s and more. Nothing
- * is lost by ignoring it: the settings are read afterwards.
+ * Must be imported before all other modules. SIGHUP terminates a process that has no handler for it, and
+ * the platform may send it after a settings change while the modules are still loading, which takes 0.1 s
+ * or more. The signal can be ignored at this stage, because the settings are read afterwards.
  */
 import process from 'node:process';
 
-process.on('SIGHUP', () => {/* the settings are read later on */});
+process.on('SIGHUP', () => {/* the settings are read later */});
--- a/apps/daemon/src/main.ts
+++ b/apps/daemon/src/main.ts
@@ -1,4 +1,4 @@
-/** `shallotpassd`: reads the settings, runs one daemon, and drains on SIGTERM. */
+/** Entry point of `shallotpassd`. Reads the settings, runs one daemon, and drains it on SIGTERM or SIGINT. */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 import {defineCommand, runMain} from 'citty';
@@ -11,12 +11,12 @@
 
 const usageExitCode = 2;
 
-const refuse = (lines: readonly string[]): never => {
+const exitWithUsageError = (lines: readonly string[]): never => {
 	process.stderr.write(`${lines.join('\n')}\n`);
 	process.exit(usageExitCode);
 };
 
-const readFirstConfiguration = (fileName: string | undefined): string | undefined => {
+const readInitialConfiguration = (fileName: string | undefined): string | undefined => {
 	if (fileName === undefined) {
 		return undefined;
 	}
@@ -25,11 +25,11 @@
 	try {
 		text = readFileSync(fileName, 'utf8');
 	} catch (error) {
-		return refuse([`${fileName}: cannot be read: ${error instanceof Error ? error.message : 'unknown'}`]);
+		return exitWithUsageError([`${fileName}: cannot be read: ${error instanceof Error ? error.message : 'unknown'}`]);
 	}
 
 	const reading = readToml(text, configurationSchema);
-	return reading.kind === 'read' ? text : refuse(reading.mistakes.map(mistake => formatMistake(fileName, mistake)));
+	return reading.kind === 'read' ? text : exitWithUsageError(reading.mistakes.map(mistake => formatMistake(fileName, mistake)));
 };
 
 const drainAndExit = async (daemon: Daemon): Promise<void> => {
@@ -37,29 +37,29 @@
 	process.exit(0);
 };
 
-const run = async (settingsFile: string, configurationFile: string | undefined): Promise<void> => {
+const runDaemon = async (settingsFile: string, configurationFile: string | undefined): Promise<void> => {
 	const reading = readSettings(settingsFile);
 	if (reading.kind === 'mistakes') {
-		return refuse(reading.lines);
+		return exitWithUsageError(reading.lines);
 	}
 
 	const {settings} = reading;
 	if (configurationFile !== undefined && settings.platform !== undefined) {
-		return refuse(['--configuration: only for a daemon without [platform]; otherwise use shallotpass apply']);
+		return exitWithUsageError(['--configuration: allowed only if the settings have no [platform]; use shallotpass apply instead']);
 	}
 
-	const configurationText = readFirstConfiguration(configurationFile);
+	const configurationText = readInitialConfiguration(configurationFile);
 	let daemon: Daemon;
 	try {
 		daemon = await startDaemon({
 			settings,
 			configurationText,
-			onDrainAsked() {
+			onDrainRequested() {
 				void drainAndExit(daemon);
 			},
 		});
 	} catch (error) {
-		return refuse([`${settingsFile}: the daemon cannot start: ${error instanceof Error ? error.message : 'unknown'}`]);
+		return exitWithUsageError([`${settingsFile}: the daemon cannot start: ${error instanceof Error ? error.message : 'unknown'}`]);
 	}
 
 	collectProcessMetrics(daemon.environment.metrics);
@@ -73,18 +73,18 @@
 };
 
 const command = defineCommand({
-	meta: {name: 'shallotpassd', description: 'The shallotpass daemon of one entry instance'},
+	meta: {name: 'shallotpassd', description: 'Run the shallotpass daemon of one entry instance'},
 	args: {
 		settings: {type: 'string', required: true, description: 'Settings file in TOML'},
-		configuration: {type: 'string', description: 'First configuration of a daemon without [platform]'},
+		configuration: {type: 'string', description: 'Initial configuration file of a daemon without [platform]'},
 	},
 	async run({args}) {
-		await run(args.settings, args.configuration);
+		await runDaemon(args.settings, args.configuration);
 	},
 });
 
 enableLogs();
-// A fault that no task has foreseen must not end the daemon and cut every stream with it.
+// An unhandled error must not terminate the daemon, as that would abort all its streams.
 const logger = makeLogger('daemon', 'process');
 process.on('unhandledRejection', error => {
 	logger.error('unhandled_rejection', {error});
--- a/apps/daemon/src/make-peer-handlers.ts
+++ b/apps/daemon/src/make-peer-handlers.ts
@@ -1,4 +1,4 @@
-/** What this daemon answers its peers, each method passed to the task that owns the matter. */
+/** Handles the requests of peers by passing each method to the task that implements it. */
 import {type PeerHandlers} from '@shallotpass/peers/peer-methods.js';
 import {type BackendRegistry} from '@shallotpass/tasks/backend-registry.js';
 import {type ClaimService} from '@shallotpass/tasks/claim-service.js';
--- a/apps/daemon/src/open-platform.ts
+++ b/apps/daemon/src/open-platform.ts
@@ -1,4 +1,4 @@
-/** The platform that the settings name, or one in this process's memory. */
+/** Opens the platform services in the settings, or an in-memory log if the settings have no platform. */
 import {type CloudService} from '@shallotpass/common/cloud-service.js';
 import {type Clock} from '@shallotpass/common/clock.js';
 import {type LogService} from '@shallotpass/common/log-service.js';
@@ -20,10 +20,10 @@
 
 const connectTimeoutMs = 1500;
 
-/** Long polls of the log, the list and the notices each hold a connection. */
-const mostConnections = 64;
+/** Each long poll of the log, the instance list and the reclaim notices occupies a connection. */
+const maxConnectionsPerOrigin = 64;
 
-const makeDispatcher = (): Agent => new Agent({connect: {timeout: connectTimeoutMs}, connections: mostConnections, pipelining: 1});
+const makeDispatcher = (): Agent => new Agent({connect: {timeout: connectTimeoutMs}, connections: maxConnectionsPerOrigin, pipelining: 1});
 
 export const openPlatform = (settings: Settings, clock: Clock): Platform => {
 	const dispatcher = makeDispatcher();
--- a/apps/daemon/src/platform-main.ts
+++ b/apps/daemon/src/platform-main.ts
@@ -1,18 +1,18 @@
-/** The daemon on the users' platform: takes callers' connections first, and loads the rest of the program then. */
-// eslint-disable-next-line import-x/order -- signals may come while the other modules load
+/** Entry point of the daemon on the users' platform. Listens for callers first and then loads the rest of the program. */
+// eslint-disable-next-line import-x/order -- signals may arrive while the other modules load
 import './ignore-early-signals.js';
 import process from 'node:process';
 import {settingsPathVariable} from '@shallotpass/platform/settings-path.js';
 import {listenEarly} from './listen-early.js';
 
-const usageExit = 2;
+const usageExitCode = 2;
 
 const path = process.env[settingsPathVariable];
 if (path === undefined) {
 	process.stderr.write(`${settingsPathVariable} must name the settings file\n`);
-	process.exit(usageExit);
+	process.exit(usageExitCode);
 }
 
-const early = await listenEarly(path);
+const earlyServer = await listenEarly(path);
 const {runPlatformDaemon} = await import('./run-platform-daemon.js');
-await runPlatformDaemon({path, early});
+await runPlatformDaemon({path, earlyServer});
--- a/apps/daemon/src/read-settings.ts
+++ b/apps/daemon/src/read-settings.ts
@@ -6,7 +6,7 @@
 	| {readonly kind: 'read'; readonly settings: Settings}
 	| {readonly kind: 'mistakes'; readonly lines: readonly string[]};
 
-/** Reads and checks a settings file; each mistake is a line with file, key, what was expected and what was found. */
+/** Reads and validates a settings file. Each mistake becomes a line with the file, the key, the expected and the actual value. */
 export const readSettings = (fileName: string): SettingsReading => {
 	let text: string;
 	try {
--- a/apps/daemon/src/run-platform-daemon.ts
+++ b/apps/daemon/src/run-platform-daemon.ts
@@ -1,4 +1,4 @@
-/** Runs the daemon on the users' platform until it is told to stop. */
+/** Runs the daemon on the users' platform until SIGTERM. */
 import process from 'node:process';
 import {formatMistake} from '@shallotpass/common/toml-file.js';
 import {type CallersServer} from '@shallotpass/gateway/calls/callers-server.js';
@@ -6,45 +6,45 @@
 import {startGateway} from '@shallotpass/gateway/start-gateway.js';
 import {openPlatform} from '@shallotpass/platform/open-platform.js';
 import {readGatewaySettings} from '@shallotpass/platform/settings.js';
-import {readFirstSettings, watchSettings} from './watch-settings.js';
+import {readInitialSettings, watchSettings} from './watch-settings.js';
 
-const usageExit = 2;
+const usageExitCode = 2;
 
-export type RunOptions = {
+export type PlatformDaemonOptions = {
 	/** Path of the settings file. */
 	readonly path: string;
-	/** The callers' socket, if it could be opened already. */
-	readonly early: CallersServer | undefined;
+	/** Server that already listens for callers, if it could be started. */
+	readonly earlyServer: CallersServer | undefined;
 };
 
-export const runPlatformDaemon = async ({path, early}: RunOptions): Promise<void> => {
-	const settings = await readFirstSettings({
+export const runPlatformDaemon = async ({path, earlyServer}: PlatformDaemonOptions): Promise<void> => {
+	const settings = await readInitialSettings({
 		path,
 		read: readGatewaySettings,
-		onRefusal(mistakes) {
+		onInvalid(mistakes) {
 			for (const mistake of mistakes) {
 				process.stderr.write(`${formatMistake(path, mistake)}\n`);
 			}
 		},
 	});
 	if (settings === undefined) {
-		process.exit(usageExit);
+		process.exit(usageExitCode);
 	}
 
-	let current = settings;
+	let currentSettings = settings;
 	const log = openEventLog(settings.instance.id);
-	if (early !== undefined && early.address !== settings.listen.callers) {
-		early.server.close();
-		early.server.closeAllConnections();
+	if (earlyServer !== undefined && earlyServer.address !== settings.listen.callers) {
+		earlyServer.server.close();
+		earlyServer.server.closeAllConnections();
 	}
 
 	const gateway = await startGateway({
 		settings,
 		log,
-		callersServer: early?.address === settings.listen.callers ? early : undefined,
+		callersServer: earlyServer?.address === settings.listen.callers ? earlyServer : undefined,
 		openPlatform: onStoreCall => openPlatform({
-			getStoreAddress: () => current.store.address,
-			getCloudAddress: () => current.cloud.address,
+			getStoreAddress: () => currentSettings.store.address,
+			getCloudAddress: () => currentSettings.cloud.address,
 			onStoreCall,
 		}),
 	});
@@ -61,17 +61,17 @@
 	const watcher = watchSettings({
 		path,
 		read: readGatewaySettings,
-		onChange(next) {
-			current = next;
-			gateway.reload(next);
+		onChange(newSettings) {
+			currentSettings = newSettings;
+			gateway.reload(newSettings);
 		},
-		onRefusal(mistakes) {
+		onInvalid(mistakes) {
 			log.write('failure', 'settings_refused', {mistakes});
 		},
 	});
 
 	process.on('SIGHUP', () => {
 		log.write('state', 'reload_asked', {path});
-		watcher.look();
+		watcher.checkNow();
 	});
 };
--- a/apps/daemon/src/start-daemon.ts
+++ b/apps/daemon/src/start-daemon.ts
@@ -1,4 +1,4 @@
-/** Wires the tasks of one daemon together. Several daemons can live in one process. */
+/** Creates and connects the tasks of one daemon. Several daemons can run in one process. */
 import {setMaxListeners} from 'node:events';
 import {systemClock, waitQuietly, type Clock} from '@shallotpass/common/clock.js';
 import {configurationStream, keyMemoryMs} from '@shallotpass/common/constants.js';
@@ -29,8 +29,8 @@
 import {defaultFleetTiming, runFleetDuty} from '@shallotpass/tasks/fleet-duty.js';
 import {followPlatform} from './follow-platform.js';
 import {makePeerHandlers} from './make-peer-handlers.js';
-import {makePeerNews, peerTimeoutMs} from './peer-news.js';
-import {listOffers, makeObserveFleet} from './observe-fleet.js';
+import {makePeerMessenger, peerTimeoutMs} from './peer-messenger.js';
+import {listOffers, makeDemandMeter} from './demand-meter.js';
 import {openPlatform} from './open-platform.js';
 
 export type Daemon = {
@@ -39,11 +39,11 @@
 	readonly peers: string;
 	readonly environment: Environment;
 	readonly isReady: () => boolean;
-	/** Stops taking requests, lets what runs finish, then stops. */
+	/** Refuses new requests after a delay, waits until the running ones have finished, then stops. */
 	readonly drain: () => Promise<void>;
-	/** Stops at once, as a crash does. */
+	/** Stops immediately without draining, as in a crash. */
 	readonly stop: () => Promise<void>;
-	/** Bytes of the peer links since the start. */
+	/** Number of bytes sent to and received from peers since the start. */
 	readonly countPeerBytes: () => number;
 	readonly listMembers: () => string[];
 	readonly getVersion: (team: string) => number;
@@ -53,51 +53,51 @@
 	readonly settings: Settings;
 	readonly clock?: Clock;
 	readonly random?: () => number;
-	/** First configuration of a daemon on its own. */
+	/** Initial configuration of a daemon without a platform. */
 	readonly configurationText?: string;
-	/** Address that peers are told, where it is not the listener's own. */
+	/** Address that is announced to peers, if it differs from the listener's. */
 	readonly announcePeersAs?: string;
-	/** Told when an operator asks for a drain. */
-	readonly onDrainAsked?: () => void;
+	/** Called when an operator requests a drain or the cloud reclaims the instance. */
+	readonly onDrainRequested?: () => void;
 };
 
-/** After a drain begins, requests are still taken for so long: the balancer needs it to notice. */
-const drainNoticeMs = 1000;
+/** Time after the start of a drain in which requests are still accepted, so that the load balancer can notice the failing readiness checks. */
+const drainDelayMs = 1000;
 
-/** Daemons of an availability zone that follow the log; more would only make the log busier. */
+/** Number of daemons per availability zone that follow the log. More would only add load on the log. */
 const readersPerZone = 3;
 
-/** Peers asked by a daemon that cannot judge the configuration alone. */
-const mostAsked = 5;
+/** Maximum number of random peers that are asked for their accepted configurations, in addition to the seeds. */
+const maxQueriedPeers = 5;
 
-const hoursToMs = 60 * 60 * 1000;
+const msPerHour = 60 * 60 * 1000;
 
-/** The key memory is promised to callers; a log that forgets earlier would break the promise silently. */
+/** Throws unless the log keeps records longer than the key memory that callers are promised. A shorter retention would break this promise without an error. */
 const checkRetention = (settings: Settings): void => {
-	const retentionMs = (settings.platform?.logRetentionHours ?? Number.POSITIVE_INFINITY) * hoursToMs;
+	const retentionMs = (settings.platform?.logRetentionHours ?? Number.POSITIVE_INFINITY) * msPerHour;
 	if (retentionMs <= keyMemoryMs) {
-		throw new RangeError(`platform.log_retention_hours: expected more than the key memory of ${keyMemoryMs / hoursToMs} hours, found ${settings.platform!.logRetentionHours}`);
+		throw new RangeError(`platform.log_retention_hours: expected more than the key memory of ${keyMemoryMs / msPerHour} hours, found ${settings.platform!.logRetentionHours}`);
 	}
 };
 
-/** Peers reach this instance at the address of the settings, at the port that the listener got. */
-const announceAddress = (settings: Settings, listening: string): string => {
+/** Combines the instance's address from the settings with the port that the listener is bound to. */
+const makeAnnouncedAddress = (settings: Settings, boundAddress: string): string => {
 	const {address} = settings.instance;
-	const port = listening.slice(listening.lastIndexOf(':') + 1);
+	const port = boundAddress.slice(boundAddress.lastIndexOf(':') + 1);
 	return address.includes(':') ? `[${address}]:${port}` : `${address}:${port}`;
 };
 
-/** As measured on two deployments (docs/design/fleet.md); an instance stays an hour at least, for its cache is worth more than a short rest. */
-const fleetPlan = {
+/** Measured on two deployments (docs/design/fleet.md). An instance runs for at least an hour, because its cache is worth more than what a short stop saves. */
+const fleetPlannerOptions = {
 	headroom: 1.3, peakReserve: 6, minPlaces: 1, minRuntimeMs: 3_600_000,
 };
 
 export const startDaemon = async (options: DaemonOptions): Promise<Daemon> => {
 	const {settings, clock = systemClock, random = Math.random} = options;
 	checkRetention(settings);
-	const stopping = new AbortController();
-	// Every long poll of the daemon listens for its end.
-	setMaxListeners(0, stopping.signal);
+	const stopController = new AbortController();
+	// Every long poll adds a listener to the signal, which would exceed the default limit.
+	setMaxListeners(0, stopController.signal);
 	const metrics = makeMetrics();
 	const environment: Environment = {
 		settings,
@@ -105,7 +105,7 @@
 		random,
 		metrics,
 		makeLogger: task => makeLogger(task, settings.instance.id),
-		signal: stopping.signal,
+		signal: stopController.signal,
 	};
 	const logger = environment.makeLogger('daemon');
 	const epoch = clock.now();
@@ -118,10 +118,10 @@
 		logger: environment.makeLogger('trace'),
 	});
 	const client = makePeerClient({
-		selfId: settings.instance.id, localAddress: settings.instance.address, keys: settings.peers.keys, now: clock.now, signal: stopping.signal,
+		selfId: settings.instance.id, localAddress: settings.instance.address, keys: settings.peers.keys, now: clock.now, signal: stopController.signal,
 	});
 	if (platform.isEmbedded) {
-		logger.warn('embedded_platform', {meaning: 'the log is in this process; for trying out only'});
+		logger.warn('embedded_platform', {meaning: 'the log is kept in the memory of this process and is lost when it stops; use this for testing only'});
 	}
 
 	const registry = makeBackendRegistry({environment});
@@ -135,7 +135,7 @@
 		},
 	});
 
-	const peerNews = makePeerNews({
+	const peerMessenger = makePeerMessenger({
 		environment, client, membership, getVersions: () => configuration.makeVersionDigest(),
 	});
 
@@ -152,20 +152,20 @@
 		log: platform.log,
 		async fetchOffer(address) {
 			const offer = await client.ask(address, 'offer', {}, addMilliseconds(clock.now(), peerTimeoutMs));
-			// Numbers of the wire become offsets and versions again.
+			// The wire format has plain numbers for offsets and versions.
 			return offer as unknown as ConfigurationOffer;
 		},
-		listPeerAddresses: () => [...settings.peers.seeds, ...peerNews.pickPeers(mostAsked).map(member => member.address)],
+		listPeerAddresses: () => [...settings.peers.seeds, ...peerMessenger.pickPeers(maxQueriedPeers).map(member => member.address)],
 		isZoneReader: () => listZoneReaders().includes(settings.instance.id),
 		getMemberIndex: () => membership.listReachable().indexOf(settings.instance.id),
 		announceVersions() {
-			void peerNews.spreadVersions(versions => {
+			void peerMessenger.announceVersions(versions => {
 				configuration.receiveVersions(versions.address, versions.versions);
 			});
 		},
 	});
-	configuration.onActivated(inForce => {
-		registry.applyConfigurations(inForce);
+	configuration.onActivated(configurations => {
+		registry.applyConfigurations(configurations);
 	});
 
 	const claims = makeClaimService({
@@ -174,8 +174,8 @@
 	const suspects = makeSuspectRegistry({
 		environment,
 		registry,
-		broadcast(news, lifted) {
-			void peerNews.tellSuspects(news, lifted);
+		broadcast(changedSuspects, lifted) {
+			void peerMessenger.sendSuspects(changedSuspects, lifted);
 		},
 	});
 	const gate = makeAdmissionGate({
@@ -204,7 +204,7 @@
 	});
 
 	let isDraining = false;
-	let draining: Promise<void> | undefined;
+	let drainPromise: Promise<void> | undefined;
 	const isReady = (): boolean => !isDraining && (configuration.hasReadLog() || configuration.getActiveConfigurations().teams.size > 0);
 
 	const adminListener = await startAdminListener({
@@ -220,35 +220,35 @@
 			isEmbedded: platform.isEmbedded,
 			isDraining: () => isDraining,
 			drain() {
-				if (options.onDrainAsked === undefined) {
+				if (options.onDrainRequested === undefined) {
 					void drain();
 				} else {
-					options.onDrainAsked();
+					options.onDrainRequested();
 				}
 			},
-			askPeerStatuses: peerNews.askStatuses,
+			askPeerStatuses: peerMessenger.fetchStatuses,
 			countInFlight: callerListener.countInFlight,
 			countWaiting: gate.countWaiting,
 		},
 	});
 
-	let stopped: Promise<void> | undefined;
+	let stopPromise: Promise<void> | undefined;
 	const stopOnce = async (): Promise<void> => {
-		stopping.abort();
+		stopController.abort();
 		await Promise.all([callerListener.close(), adminListener.close(), peerServer.close(), connections.close(), platform.close()]);
 		await tracing.shutdown();
 	};
 
 	const stop = async (): Promise<void> => {
-		stopped ??= stopOnce();
-		return stopped;
+		stopPromise ??= stopOnce();
+		return stopPromise;
 	};
 
 	const drainOnce = async (): Promise<void> => {
 		isDraining = true;
 		logger.info('drain_began', {inFlight: callerListener.countInFlight()});
 		membership.announceLeaving();
-		await waitQuietly(clock, addMilliseconds(clock.now(), drainNoticeMs), stopping.signal);
+		await waitQuietly(clock, addMilliseconds(clock.now(), drainDelayMs), stopController.signal);
 		callerListener.startDraining();
 		await callerListener.waitUntilIdle();
 		await claims.waitForPendingOutcomes();
@@ -257,14 +257,14 @@
 	};
 
 	const drain = async (): Promise<void> => {
-		draining ??= drainOnce();
-		return draining;
+		drainPromise ??= drainOnce();
+		return drainPromise;
 	};
 
 	const isModelService = (serviceId: string): boolean => [...configuration.getActiveConfigurations().teams.values()].some(({team, configuration: file}) =>
 		file.service.some(service => service.kind === 'model' && makeServiceId(team, service.name) === serviceId));
 
-	membership.start(options.announcePeersAs ?? announceAddress(settings, peerServer.address));
+	membership.start(options.announcePeersAs ?? makeAnnouncedAddress(settings, peerServer.address));
 	void runLoadReports({
 		environment,
 		registry,
@@ -276,17 +276,17 @@
 	const fleetOptions = {
 		environment,
 		log: platform.log,
-		plan: makeFleetPlanner(fleetPlan),
+		plan: makeFleetPlanner(fleetPlannerOptions),
 		availabilityZone: settings.instance.availabilityZone,
 		holder: `${settings.instance.id} ${epoch}`,
 		timing: defaultFleetTiming,
 		announceEnd(instanceId: string, leavesAt: Deadline) {
 			registry.applyLeavingNotice(instanceId, leavesAt);
-			void peerNews.tellLeaving(instanceId, leavesAt);
+			void peerMessenger.sendLeavingNotice(instanceId, leavesAt);
 		},
-		measureDemand: makeObserveFleet({
+		measureDemand: makeDemandMeter({
 			clock,
-			getInForce: configuration.getActiveConfigurations,
+			getActiveConfigurations: configuration.getActiveConfigurations,
 			listEngines: () => registry.list().filter(view => view.services.some(serviceId => isModelService(serviceId))),
 			countWaiting: () => gate.countWaiting() * membership.listReachable().length,
 		}),
@@ -301,8 +301,8 @@
 		platform,
 		registry,
 		membership,
-		onOwnReclaim() {
-			options.onDrainAsked?.();
+		onSelfReclaimed() {
+			options.onDrainRequested?.();
 			void drain();
 		},
 	});
--- a/apps/daemon/src/watch-settings.test.ts
+++ b/apps/daemon/src/watch-settings.test.ts
@@ -7,33 +7,32 @@
 import * as z from 'zod';
 import {watchSettings} from './watch-settings.js';
 
-test('a settings file that is wrong after a change leaves what was in force, and says where', t => {
-	// An operator saves a file with a mistake. A daemon that took it, or ended, would drop every call
-	// that it serves.
+test('an invalid change to the settings file is reported with its place and keeps the previous settings in force', t => {
+	// A daemon that applied an invalid file, or exited because of it, would abort all its calls.
 	const folder = mkdtempSync(path.join(os.tmpdir(), 'shallotpass-'));
 	t.after(() => {
 		rmSync(folder, {recursive: true});
 	});
 	const file = path.join(folder, 'settings.toml');
 	writeFileSync(file, 'waits_ms = 2000\n');
-	const taken: number[] = [];
-	const refused: string[] = [];
+	const appliedValues: number[] = [];
+	const invalidPlaces: string[] = [];
 	const watcher = watchSettings({
 		path: file,
 		read: text => readToml(text, z.object({waitsMs: z.number()})),
 		onChange(settings) {
-			taken.push(settings.waitsMs);
+			appliedValues.push(settings.waitsMs);
 		},
-		onRefusal(mistakes) {
-			refused.push(...mistakes.map(mistake => mistake.place));
+		onInvalid(mistakes) {
+			invalidPlaces.push(...mistakes.map(mistake => mistake.place));
 		},
 	});
-	watcher.look();
+	watcher.checkNow();
 	writeFileSync(file, 'waits_ms = "soon"\n');
-	watcher.look();
+	watcher.checkNow();
 	writeFileSync(file, 'waits_ms = 3000\n');
-	watcher.look();
-	watcher.look();
+	watcher.checkNow();
+	watcher.checkNow();
 	watcher.stop();
-	assert.deepEqual([taken, refused], [[3000], ['waits_ms']]);
+	assert.deepEqual([appliedValues, invalidPlaces], [[3000], ['waits_ms']]);
 });
--- a/apps/daemon/src/watch-settings.ts
+++ b/apps/daemon/src/watch-settings.ts
@@ -1,26 +1,26 @@
-/** Notices that the settings file has changed: the platform may say so by SIGHUP, or change it without a word. */
+/** Detects changes to the settings file. The platform may send SIGHUP after a change, but does not have to. */
 import {readFileSync} from 'node:fs';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type FileMistake, type FileReading} from '@shallotpass/common/toml-file.js';
 
-/** A file that is being written is whole again after a moment: until so long after the start it is read again, each time after a pause, in milliseconds. */
-const settleMs = 3000;
-const settlePauseMs = 200;
+/** At the start, an invalid file is read again until this timeout, because the platform may still be writing it. */
+const initialReadTimeoutMs = 3000;
+const initialReadIntervalMs = 200;
 
-/** Between two looks at the file, in milliseconds; it has 1 kB. */
-const lookEveryMs = 2000;
+/** Interval between checks for changes. Reading the file is cheap, as it has about 1 kB. */
+const pollIntervalMs = 2000;
 
-export type SettingsWatch<Settings> = {
+export type SettingsWatchOptions<Settings> = {
 	readonly path: string;
 	readonly read: (text: string) => FileReading<Settings>;
 	readonly onChange: (settings: Settings) => void;
-	/** The file cannot be read or has mistakes: what was in force stays. */
-	readonly onRefusal: (mistakes: readonly FileMistake[]) => void;
+	/** Called when the file cannot be read or is invalid. The previous settings stay in force. */
+	readonly onInvalid: (mistakes: readonly FileMistake[]) => void;
 };
 
 export type SettingsWatcher = {
-	/** Looks at once. */
-	readonly look: () => void;
+	/** Checks for a change immediately. */
+	readonly checkNow: () => void;
 	readonly stop: () => void;
 };
 
@@ -32,58 +32,58 @@
 	}
 };
 
-export type FirstReading<Settings> = Pick<SettingsWatch<Settings>, 'path' | 'read' | 'onRefusal'>;
+export type InitialReadOptions<Settings> = Pick<SettingsWatchOptions<Settings>, 'path' | 'read' | 'onInvalid'>;
 
 /**
- * Reads the settings at the start; undefined when they stay wrong. The platform may start a process
- * while it writes the file: one that ended at once would be missed by callers until it is started
- * again, and counts as a process that ends by itself.
+ * Reads the settings at the start, and returns undefined if they stay invalid. The platform may start the
+ * process while it still writes the file. A process that exited immediately would be unavailable to
+ * callers until it is started again, and the platform would count the exit as a crash.
  */
-export const readFirstSettings = async <Settings>({path, read, onRefusal}: FirstReading<Settings>): Promise<Settings | undefined> => {
-	const giveUpAt = performance.now() + settleMs;
+export const readInitialSettings = async <Settings>({path, read, onInvalid}: InitialReadOptions<Settings>): Promise<Settings | undefined> => {
+	const deadline = performance.now() + initialReadTimeoutMs;
 	let reading = readFile(path, read);
 	if (reading.kind === 'mistakes') {
-		onRefusal(reading.mistakes);
+		onInvalid(reading.mistakes);
 	}
 
-	while (reading.kind === 'mistakes' && performance.now() < giveUpAt) {
-		await sleep(settlePauseMs); // eslint-disable-line no-await-in-loop -- a poll
+	while (reading.kind === 'mistakes' && performance.now() < deadline) {
+		await sleep(initialReadIntervalMs); // eslint-disable-line no-await-in-loop -- polls
 		reading = readFile(path, read);
 	}
 
 	return reading.kind === 'read' ? reading.value : undefined;
 };
 
-export const watchSettings = <Settings>({path, read, onChange, onRefusal}: SettingsWatch<Settings>): SettingsWatcher => {
+export const watchSettings = <Settings>({path, read, onChange, onInvalid}: SettingsWatchOptions<Settings>): SettingsWatcher => {
 	const readText = (): string | undefined => {
 		try {
 			return readFileSync(path, 'utf8');
 		} catch (error) {
-			onRefusal([{place: path, expected: 'a readable file', found: String(error)}]);
+			onInvalid([{place: path, expected: 'a readable file', found: String(error)}]);
 			return undefined;
 		}
 	};
 
-	let known = readText();
-	const look = (): void => {
+	let lastText = readText();
+	const checkNow = (): void => {
 		const text = readText();
-		if (text === undefined || text === known) {
+		if (text === undefined || text === lastText) {
 			return;
 		}
 
-		known = text;
+		lastText = text;
 		const reading = read(text);
 		if (reading.kind === 'read') {
 			onChange(reading.value);
 		} else {
-			onRefusal(reading.mistakes);
+			onInvalid(reading.mistakes);
 		}
 	};
 
-	const timer = setInterval(look, lookEveryMs);
+	const timer = setInterval(checkNow, pollIntervalMs);
 	timer.unref();
 	return {
-		look,
+		checkNow,
 		stop() {
 			clearInterval(timer);
 		},
