--- a/apps/daemon/src/start-daemon.ts
+++ b/apps/daemon/src/start-daemon.ts
@@ -226,7 +226,7 @@
 					options.onDrainRequested();
 				}
 			},
-			askPeerStatuses: peerMessenger.fetchStatuses,
+			fetchPeerStatuses: peerMessenger.fetchStatuses,
 			countInFlight: callerListener.countInFlight,
 			countWaiting: gate.countWaiting,
 		},
--- a/packages/admin/src/admin-services.ts
+++ b/packages/admin/src/admin-services.ts
@@ -8,11 +8,11 @@
 export type PeerStatus = {
 	readonly id: string;
 	readonly availabilityZone: string;
-	/** Versions in force by team; undefined when the peer did not answer. */
+	/** Versions in force by team, or undefined if the peer did not respond. */
 	readonly versions: Readonly<Record<string, number>> | undefined;
 };
 
-/** What the operators' listener works with. */
+/** Parts of the daemon that the admin listener uses. */
 export type AdminServices = {
 	readonly environment: Environment;
 	readonly configuration: ConfigurationTask;
@@ -20,12 +20,12 @@
 	readonly registry: BackendRegistry;
 	readonly suspects: SuspectRegistry;
 	readonly log: LogService;
-	/** True when the daemon runs on the platform in its own memory. */
+	/** Whether the daemon uses an in-memory log instead of a platform. */
 	readonly isEmbedded: boolean;
 	readonly isDraining: () => boolean;
 	readonly drain: () => void;
-	/** Asks every member which versions it has in force. */
-	readonly askPeerStatuses: () => Promise<PeerStatus[]>;
+	/** Requests the versions in force from every peer. */
+	readonly fetchPeerStatuses: () => Promise<PeerStatus[]>;
 	readonly countInFlight: () => number;
 	readonly countWaiting: () => number;
 };
--- a/packages/admin/src/apply-configuration.ts
+++ b/packages/admin/src/apply-configuration.ts
@@ -1,4 +1,4 @@
-/** One apply: checked, appended once, and judged by the fold alone. */
+/** Validates a configuration and appends it to the log. Whether it is accepted follows only from replaying the log, so that all daemons agree. */
 import {randomUUID} from 'node:crypto';
 import {configurationSchema, type Configuration} from '@shallotpass/common/configuration-schema.js';
 import {configurationStream} from '@shallotpass/common/constants.js';
@@ -14,9 +14,9 @@
 export type ApplyRequest = {
 	readonly team: string;
 	readonly toml: string;
-	/** Version the file was made from; the accepted one when the operator names none. */
+	/** Version that the file is based on. Defaults to the accepted version. */
 	readonly base: number | undefined;
-	/** Unique id of this apply; the same id is never applied twice. */
+	/** Unique id of this apply. A configuration is applied at most once per id. */
 	readonly id: string | undefined;
 	readonly by: string;
 };
@@ -31,16 +31,17 @@
 	readonly changes: readonly ConfigurationChange[];
 };
 
-const judgedWithinMs = 3000;
+/** Time limit for an appended record to be accepted or rejected. */
+const verdictTimeoutMs = 3000;
 
-/** Time for a record whose append failed to show all the same. */
-const seenWithinMs = 500;
-const mostAppends = 3;
-const lookEveryMs = 10;
-const readEveryMs = 200;
-const retryMs = 2000;
+/** Time to wait for a record whose append failed. It may have been written although the reply was lost. */
+const failedAppendTimeoutMs = 500;
+const maxAppends = 3;
+const pollIntervalMs = 10;
+const logReadIntervalMs = 200;
+const retryDelayMs = 2000;
 
-const readConfiguration = (toml: string): Configuration => {
+const parseConfiguration = (toml: string): Configuration => {
 	const reading = readToml(toml, configurationSchema);
 	if (reading.kind === 'mistakes') {
 		throw new ServingError(reading.mistakes.map(mistake => formatMistake('configuration', mistake)).join('\n'), {kind: 'configuration_invalid'});
@@ -53,38 +54,38 @@
 	const current = services.configuration.getActiveConfigurations().teams.get(team);
 	return {
 		base: getAcceptedVersion(services.configuration.getState(), team),
-		changes: diffConfigurations(current?.configuration, readConfiguration(toml)),
+		changes: diffConfigurations(current?.configuration, parseConfiguration(toml)),
 	};
 };
 
 const findEntry = (services: AdminServices, id: string): HistoryEntry | undefined =>
 	services.configuration.getState().history.find(entry => entry.id === id);
 
-const waitForEntry = async (services: AdminServices, id: string, withinMs: number): Promise<HistoryEntry | undefined> => {
+const waitForEntry = async (services: AdminServices, id: string, timeoutMs: number): Promise<HistoryEntry | undefined> => {
 	const {clock, signal} = services.environment;
-	const giveUpAt = clock.now() + withinMs;
-	// The poll that follows the log usually brings the record first.
-	let readAt = clock.now() + readEveryMs;
-	while (clock.now() < giveUpAt) {
+	const deadline = clock.now() + timeoutMs;
+	// The configuration task follows the log and usually receives the record before this read is due.
+	let nextReadAt = clock.now() + logReadIntervalMs;
+	while (clock.now() < deadline) {
 		const entry = findEntry(services, id);
 		if (entry !== undefined) {
 			return entry;
 		}
 
-		/* eslint-disable no-await-in-loop -- looks at the fold until it has judged */
-		if (clock.now() >= readAt) {
+		/* eslint-disable no-await-in-loop -- polls until the record is replayed */
+		if (clock.now() >= nextReadAt) {
 			await services.configuration.catchUp();
-			readAt = clock.now() + readEveryMs;
+			nextReadAt = clock.now() + logReadIntervalMs;
 		}
 
-		await clock.waitUntil(addMilliseconds(clock.now(), lookEveryMs), signal);
+		await clock.waitUntil(addMilliseconds(clock.now(), pollIntervalMs), signal);
 		/* eslint-enable no-await-in-loop */
 	}
 
 	return findEntry(services, id);
 };
 
-const toResult = (entry: HistoryEntry): ApplyResult => {
+const makeResult = (entry: HistoryEntry): ApplyResult => {
 	if (entry.verdict === 'conflict') {
 		throw new ServingError(`the file was made from version ${entry.base}; version ${entry.current} is accepted`, {kind: 'configuration_conflict'});
 	}
@@ -92,18 +93,18 @@
 	return {id: entry.id, version: entry.offset};
 };
 
-type Seen = {readonly entry: HistoryEntry | undefined; readonly cause: unknown};
+type AppendResult = {readonly entry: HistoryEntry | undefined; readonly cause: unknown};
 
 /**
- * Appends, and again when the append failed and the record has not been seen. The
- * first may still take effect then: the later of the two is judged a conflict, since
- * its base is no longer accepted, and the id's first verdict stands.
+ * Appends the record, and repeats this if the append failed and the record does not appear in the log.
+ * The failed append may still take effect later. In that case the second record is a conflict, because
+ * its base is no longer the accepted version, and the first verdict for the id remains valid.
  */
-const appendUntilSeen = async (services: AdminServices, record: ConfigurationRecord): Promise<Seen> => {
+const appendUntilVisible = async (services: AdminServices, record: ConfigurationRecord): Promise<AppendResult> => {
 	let cause: unknown;
-	for (let tries = 0; tries < mostAppends; tries++) {
+	for (let attempt = 0; attempt < maxAppends; attempt++) {
 		let isAppended = true;
-		/* eslint-disable no-await-in-loop -- the next only when this one is not seen */
+		/* eslint-disable no-await-in-loop -- the next attempt depends on the outcome of this one */
 		try {
 			await services.log.append({stream: configurationStream, record});
 		} catch (error) {
@@ -111,7 +112,7 @@
 			cause = error;
 		}
 
-		const entry = await waitForEntry(services, record.id, isAppended ? judgedWithinMs : seenWithinMs);
+		const entry = await waitForEntry(services, record.id, isAppended ? verdictTimeoutMs : failedAppendTimeoutMs);
 		/* eslint-enable no-await-in-loop */
 		if (entry !== undefined || isAppended) {
 			return {entry, cause};
@@ -124,29 +125,29 @@
 export const applyConfiguration = async (services: AdminServices, request: ApplyRequest): Promise<ApplyResult> => {
 	const {environment, configuration} = services;
 	const id = request.id ?? randomUUID();
-	const earlier = findEntry(services, id);
-	if (earlier !== undefined) {
-		return toResult(earlier);
+	const earlierEntry = findEntry(services, id);
+	if (earlierEntry !== undefined) {
+		return makeResult(earlierEntry);
 	}
 
-	readConfiguration(request.toml);
-	const accepted = getAcceptedVersion(configuration.getState(), request.team);
-	const base = request.base ?? accepted;
-	if (base < accepted) {
-		throw new ServingError(`the file was made from version ${base}; version ${accepted} is accepted`, {kind: 'configuration_conflict'});
+	parseConfiguration(request.toml);
+	const acceptedVersion = getAcceptedVersion(configuration.getState(), request.team);
+	const base = request.base ?? acceptedVersion;
+	if (base < acceptedVersion) {
+		throw new ServingError(`the file was made from version ${base}; version ${acceptedVersion} is accepted`, {kind: 'configuration_conflict'});
 	}
 
 	const record: ConfigurationRecord = {
 		kind: 'configuration', id, team: request.team, base, toml: request.toml, by: request.by, at: environment.clock.now(),
 	};
-	const {entry, cause} = await appendUntilSeen(services, record);
+	const {entry, cause} = await appendUntilVisible(services, record);
 	if (entry === undefined) {
 		throw new ServingError(`apply ${id} has not been seen in the log yet; ask for it again with the same id`, {
 			kind: 'configuration_unconfirmed',
-			retryAt: addMilliseconds(environment.clock.now(), retryMs),
+			retryAt: addMilliseconds(environment.clock.now(), retryDelayMs),
 			cause,
 		});
 	}
 
-	return toResult(entry);
+	return makeResult(entry);
 };
--- a/packages/admin/src/authorize.ts
+++ b/packages/admin/src/authorize.ts
@@ -1,4 +1,4 @@
-/** Who may do what on the operators' listener. */
+/** Authenticates operators and checks their permissions. */
 import {Buffer} from 'node:buffer';
 import {createHash, timingSafeEqual} from 'node:crypto';
 import {type IncomingMessage} from 'node:http';
@@ -15,7 +15,7 @@
 
 const isSameDigest = (left: string, right: string): boolean => timingSafeEqual(Buffer.from(left, 'hex'), Buffer.from(right, 'hex'));
 
-/** The operator whose key is in Authorization. Every listed key is compared, in constant time. */
+/** Returns the operator whose key is in the Authorization header. Digests are compared in constant time. */
 export const authenticateOperator = (request: IncomingMessage, keys: readonly AdminKey[]): Operator => {
 	const match = /^Bearer +(\S+)$/iv.exec(request.headers.authorization ?? '');
 	if (match === null) {
@@ -31,6 +31,7 @@
 	return {name: key.name, role: key.role, teams: key.teams};
 };
 
+/** Throws unless the operator has the role or a higher one. */
 export const requireRole = (operator: Operator, role: AdminKey['role']): void => {
 	if (roleRanks[operator.role] < roleRanks[role]) {
 		throw new ServingError(`${operator.name} is ${operator.role}; this needs ${role}`, {kind: 'forbidden'});
@@ -40,6 +41,7 @@
 export const canSeeTeam = (operator: Operator, team: string): boolean =>
 	operator.role === 'administrator' || operator.teams.includes(team);
 
+/** Throws unless the operator may access the team. */
 export const requireTeam = (operator: Operator, team: string): void => {
 	if (!canSeeTeam(operator, team)) {
 		throw new ServingError(`${operator.name} has no right to team ${team}`, {kind: 'forbidden'});
--- a/packages/admin/src/describe-status.ts
+++ b/packages/admin/src/describe-status.ts
@@ -1,17 +1,17 @@
-/** What operators see of the system's state. */
+/** Builds the status responses for operators, limited to the teams that an operator may see. */
 import {canSeeTeam, type Operator} from './authorize.js';
 import {type AdminServices} from './admin-services.js';
 
-const pickTeams = (versions: Readonly<Record<string, number>>, operator: Operator): Record<string, number> =>
+const filterVisibleTeams = (versions: Readonly<Record<string, number>>, operator: Operator): Record<string, number> =>
 	Object.fromEntries(Object.entries(versions).filter(([team]) => canSeeTeam(operator, team)));
 
 const listVersionsInForce = (services: AdminServices): Record<string, number> =>
 	Object.fromEntries([...services.configuration.getActiveConfigurations().teams.values()].map(({team, version}) => [team, version]));
 
-/** Lowest version in force in each availability zone by team; a member that does not answer counts as silent. */
+/** Returns the lowest version in force for each team, by availability zone. Members that do not respond are listed as silent. */
 export const describeZones = async (services: AdminServices, operator: Operator) => {
 	const {availabilityZone, id} = services.environment.settings.instance;
-	const statuses = [{id, availabilityZone, versions: listVersionsInForce(services)}, ...await services.askPeerStatuses()];
+	const statuses = [{id, availabilityZone, versions: listVersionsInForce(services)}, ...await services.fetchPeerStatuses()];
 	const zones: Record<string, {members: number; silent: string[]; versions: Record<string, number>}> = {};
 	for (const status of statuses) {
 		const zone = zones[status.availabilityZone] ?? {members: 0, silent: [], versions: {}};
@@ -23,15 +23,15 @@
 		}
 
 		const teams = new Set([...Object.keys(zone.versions), ...Object.keys(status.versions)]);
-		const isFirst = zone.members - zone.silent.length === 1;
+		const isFirstResponse = zone.members - zone.silent.length === 1;
 		for (const team of teams) {
 			const version = status.versions[team] ?? -1;
-			zone.versions[team] = isFirst ? version : Math.min(zone.versions[team] ?? -1, version);
+			zone.versions[team] = isFirstResponse ? version : Math.min(zone.versions[team] ?? -1, version);
 		}
 	}
 
 	for (const zone of Object.values(zones)) {
-		zone.versions = pickTeams(zone.versions, operator);
+		zone.versions = filterVisibleTeams(zone.versions, operator);
 	}
 
 	return zones;
@@ -47,8 +47,8 @@
 		isDraining: services.isDraining(),
 		inFlight: services.countInFlight(),
 		waiting: services.countWaiting(),
-		accepted: pickTeams(accepted, operator),
-		inForce: pickTeams(listVersionsInForce(services), operator),
+		accepted: filterVisibleTeams(accepted, operator),
+		inForce: filterVisibleTeams(listVersionsInForce(services), operator),
 		zones: await describeZones(services, operator),
 	};
 };
@@ -62,6 +62,7 @@
 	};
 };
 
+/** Service ids have the form `team/name`, or only the name for the default team. */
 const getTeamOfService = (serviceId: string): string => serviceId.includes('/') ? serviceId.slice(0, serviceId.indexOf('/')) : 'default';
 
 export const describeBackends = (services: AdminServices, operator: Operator) => ({
--- a/packages/admin/src/listener.ts
+++ b/packages/admin/src/listener.ts
@@ -1,4 +1,4 @@
-/** The operators' listener: health, metrics and the routes. */
+/** HTTP listener for operators: health checks, metrics and the admin routes. */
 import {Buffer} from 'node:buffer';
 import {randomUUID} from 'node:crypto';
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
@@ -20,15 +20,15 @@
 	readonly isReady: () => boolean;
 };
 
-const mostBodyBytes = 4 * 1024 * 1024;
+const maxBodyBytes = 4 * 1024 * 1024;
 
 const readText = async (request: IncomingMessage): Promise<string> => {
 	const chunks: Uint8Array[] = [];
 	let length = 0;
 	for await (const chunk of request as AsyncIterable<Uint8Array>) {
 		length += chunk.length;
-		if (length > mostBodyBytes) {
-			throw new ServingError(`the body is larger than ${mostBodyBytes} bytes`, {kind: 'payload_too_large'});
+		if (length > maxBodyBytes) {
+			throw new ServingError(`the body is larger than ${maxBodyBytes} bytes`, {kind: 'payload_too_large'});
 		}
 
 		chunks.push(chunk);
@@ -41,14 +41,14 @@
 	}
 };
 
-type TextReply = {
+type TextResponse = {
 	readonly status: number;
 	readonly type: string;
 	readonly text: string;
 	readonly headers?: Readonly<Record<string, string>>;
 };
 
-const sendText = (response: ServerResponse, {status, type, text, headers = {}}: TextReply): void => {
+const sendText = (response: ServerResponse, {status, type, text, headers = {}}: TextResponse): void => {
 	response.writeHead(status, {'content-type': type, 'content-length': Buffer.byteLength(text), ...headers});
 	response.end(text);
 };
@@ -64,7 +64,7 @@
 	sendText(response, {status: reply.status, type: 'application/json', text: `${JSON.stringify(reply.body)}\n`});
 };
 
-const sendRefusal = (response: ServerResponse, error: ServingError, now: number): void => {
+const sendError = (response: ServerResponse, error: ServingError, now: number): void => {
 	if (response.headersSent) {
 		response.destroy();
 		return;
@@ -81,7 +81,7 @@
 	});
 };
 
-const decodeParts = (groups: Readonly<Record<string, string>> = {}): Record<string, string> => {
+const decodePathParameters = (groups: Readonly<Record<string, string>> = {}): Record<string, string> => {
 	try {
 		return Object.fromEntries(Object.entries(groups).map(([key, value]) => [key, decodeURIComponent(value)]));
 	} catch {
@@ -93,11 +93,11 @@
 	const {environment} = services;
 	const logger = environment.makeLogger('admin');
 
-	const sendProbe = (response: ServerResponse, isFine: boolean): void => {
-		sendText(response, {status: isFine ? 200 : 503, type: 'text/plain', text: isFine ? 'ok\n' : 'not ready\n'});
+	const sendHealthCheck = (response: ServerResponse, isHealthy: boolean): void => {
+		sendText(response, {status: isHealthy ? 200 : 503, type: 'text/plain', text: isHealthy ? 'ok\n' : 'not ready\n'});
 	};
 
-	const performRoute = async (request: IncomingMessage, url: URL): Promise<AdminReply> => {
+	const handleRoute = async (request: IncomingMessage, url: URL): Promise<AdminReply> => {
 		const matching = adminRoutes.filter(candidate => candidate.pattern.test(url.pathname));
 		if (matching.length === 0) {
 			throw new ServingError(`nothing is served at ${url.pathname.slice(0, 100)}`, {kind: 'not_found'});
@@ -110,9 +110,9 @@
 		}
 
 		requireRole(operator, route.role);
-		const parts = decodeParts(route.pattern.exec(url.pathname)?.groups);
-		const reply = await route.perform({
-			request, url, operator, parts, readText: async () => readText(request),
+		const pathParameters = decodePathParameters(route.pattern.exec(url.pathname)?.groups);
+		const reply = await route.handle({
+			request, url, operator, pathParameters, readText: async () => readText(request),
 		}, services);
 		if (route.method !== 'GET') {
 			logger.info('operator_acted', {operator: operator.name, method: route.method, path: url.pathname});
@@ -126,12 +126,12 @@
 			const url = new URL(request.url ?? '/', 'http://admin');
 			switch (url.pathname) {
 				case '/healthz': {
-					sendProbe(response, true);
+					sendHealthCheck(response, true);
 					return;
 				}
 
 				case '/readyz': {
-					sendProbe(response, isReady());
+					sendHealthCheck(response, isReady());
 					return;
 				}
 
@@ -142,21 +142,21 @@
 				}
 
 				default: {
-					sendReply(response, await performRoute(request, url));
+					sendReply(response, await handleRoute(request, url));
 				}
 			}
 		} catch (error) {
-			const serving = toServingError(error);
-			if (serving.kind === 'internal') {
+			const servingError = toServingError(error);
+			if (servingError.kind === 'internal') {
 				logger.error('request_failed', {error});
 			}
 
-			sendRefusal(response, serving, environment.clock.now());
+			sendError(response, servingError, environment.clock.now());
 		}
 	};
 
 	const server = createServer({requestTimeout: 30_000, headersTimeout: 10_000}, (request, response) => {
-		response.on('error', () => {/* the operator has gone */});
+		response.on('error', () => {/* the client has disconnected */});
 		void serve(request, response);
 	});
 	const address = await listenAt(server, listen);
--- a/packages/admin/src/routes.ts
+++ b/packages/admin/src/routes.ts
@@ -1,4 +1,4 @@
-/** The operators' interface, one entry a route. */
+/** Routes of the admin listener. */
 import {type IncomingMessage} from 'node:http';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {type AdminKey} from '@shallotpass/common/settings-schema.js';
@@ -7,12 +7,12 @@
 import {type AdminServices} from './admin-services.js';
 import {describeBackends, describeMembers, describeStatus} from './describe-status.js';
 
-export type AdminCall = {
+export type AdminRequest = {
 	readonly request: IncomingMessage;
 	readonly url: URL;
 	readonly operator: Operator;
-	/** Parts of the path that the route's pattern names. */
-	readonly parts: Readonly<Record<string, string>>;
+	/** Values of the named groups in the route's pattern. */
+	readonly pathParameters: Readonly<Record<string, string>>;
 	readonly readText: () => Promise<string>;
 };
 
@@ -23,15 +23,16 @@
 export type AdminRoute = {
 	readonly method: 'GET' | 'PUT' | 'POST' | 'DELETE';
 	readonly pattern: RegExp;
-	/** As shown on the operators' page. */
+	/** Path as shown in the reference documentation. */
 	readonly path: string;
 	readonly role: AdminKey['role'];
-	readonly perform: (call: AdminCall, services: AdminServices) => Promise<AdminReply> | AdminReply;
+	readonly handle: (adminRequest: AdminRequest, services: AdminServices) => Promise<AdminReply> | AdminReply;
 };
 
-const sendJson = (body: unknown, status = 200): AdminReply => ({kind: 'json', status, body});
+const makeJsonReply = (body: unknown, status = 200): AdminReply => ({kind: 'json', status, body});
 
-const readBase = (request: IncomingMessage): number | undefined => {
+/** Reads the version in If-Match, where -1 means that the team has no configuration yet. */
+const parseBaseVersion = (request: IncomingMessage): number | undefined => {
 	const text = request.headers['if-match'];
 	if (text === undefined) {
 		return undefined;
@@ -45,7 +46,7 @@
 	return version;
 };
 
-const readApplyId = (request: IncomingMessage): string | undefined => {
+const parseApplyId = (request: IncomingMessage): string | undefined => {
 	const id = request.headers['x-apply-id'];
 	if (id !== undefined && (typeof id !== 'string' || !/^[\w\-]{8,64}$/v.test(id))) {
 		throw new ServingError('X-Apply-Id must be 8 to 64 letters, digits, dashes or underscores', {kind: 'invalid_request'});
@@ -54,35 +55,35 @@
 	return id;
 };
 
-const teamPattern = /^\/admin\/v1\/teams\/(?<team>[^\/]+)\/configuration$/v;
+const configurationPattern = /^\/admin\/v1\/teams\/(?<team>[^\/]+)\/configuration$/v;
 
 export const adminRoutes: readonly AdminRoute[] = [
 	{
 		method: 'PUT',
-		pattern: teamPattern,
+		pattern: configurationPattern,
 		path: '/admin/v1/teams/<team>/configuration',
 		role: 'operator',
-		async perform({request, url, operator, parts, readText}, services) {
-			const team = parts.team!;
+		async handle({request, url, operator, pathParameters, readText}, services) {
+			const team = pathParameters.team!;
 			requireTeam(operator, team);
 			const toml = await readText();
 			if (url.searchParams.get('dryRun') === '1') {
-				return sendJson(planConfiguration(services, team, toml));
+				return makeJsonReply(planConfiguration(services, team, toml));
 			}
 
 			const result = await applyConfiguration(services, {
-				team, toml, base: readBase(request), id: readApplyId(request), by: operator.name,
+				team, toml, base: parseBaseVersion(request), id: parseApplyId(request), by: operator.name,
 			});
-			return sendJson(result, 202);
+			return makeJsonReply(result, 202);
 		},
 	},
 	{
 		method: 'GET',
-		pattern: teamPattern,
+		pattern: configurationPattern,
 		path: '/admin/v1/teams/<team>/configuration',
 		role: 'viewer',
-		perform({operator, parts}, services) {
-			const team = parts.team!;
+		handle({operator, pathParameters}, services) {
+			const team = pathParameters.team!;
 			requireTeam(operator, team);
 			const accepted = services.configuration.getState().accepted.get(team);
 			if (accepted === undefined) {
@@ -97,10 +98,10 @@
 		pattern: /^\/admin\/v1\/teams\/(?<team>[^\/]+)\/history$/v,
 		path: '/admin/v1/teams/<team>/history',
 		role: 'viewer',
-		perform({operator, parts}, services) {
-			const team = parts.team!;
+		handle({operator, pathParameters}, services) {
+			const team = pathParameters.team!;
 			requireTeam(operator, team);
-			return sendJson({entries: services.configuration.getState().history.filter(entry => entry.team === team)});
+			return makeJsonReply({entries: services.configuration.getState().history.filter(entry => entry.team === team)});
 		},
 	},
 	{
@@ -108,41 +109,41 @@
 		pattern: /^\/admin\/v1\/status$/v,
 		path: '/admin/v1/status',
 		role: 'viewer',
-		perform: async ({operator}, services) => sendJson(await describeStatus(services, operator)),
+		handle: async ({operator}, services) => makeJsonReply(await describeStatus(services, operator)),
 	},
 	{
 		method: 'GET',
 		pattern: /^\/admin\/v1\/members$/v,
 		path: '/admin/v1/members',
 		role: 'viewer',
-		perform: (_call, services) => sendJson(describeMembers(services)),
+		handle: (_request, services) => makeJsonReply(describeMembers(services)),
 	},
 	{
 		method: 'GET',
 		pattern: /^\/admin\/v1\/backends$/v,
 		path: '/admin/v1/backends',
 		role: 'viewer',
-		perform: ({operator}, services) => sendJson(describeBackends(services, operator)),
+		handle: ({operator}, services) => makeJsonReply(describeBackends(services, operator)),
 	},
 	{
 		method: 'GET',
 		pattern: /^\/admin\/v1\/quarantine$/v,
 		path: '/admin/v1/quarantine',
 		role: 'viewer',
-		perform: (_call, services) => sendJson({suspects: services.suspects.list()}),
+		handle: (_request, services) => makeJsonReply({suspects: services.suspects.list()}),
 	},
 	{
 		method: 'DELETE',
 		pattern: /^\/admin\/v1\/quarantine\/(?<fingerprint>[\da-f]+)$/v,
 		path: '/admin/v1/quarantine/<fingerprint>',
 		role: 'operator',
-		perform({parts}, services) {
-			if (services.suspects.get(parts.fingerprint!) === undefined) {
+		handle({pathParameters}, services) {
+			if (services.suspects.get(pathParameters.fingerprint!) === undefined) {
 				throw new ServingError('no such request is suspected', {kind: 'not_found'});
 			}
 
-			services.suspects.lift(parts.fingerprint!);
-			return sendJson({lifted: parts.fingerprint});
+			services.suspects.lift(pathParameters.fingerprint!);
+			return makeJsonReply({lifted: pathParameters.fingerprint});
 		},
 	},
 	{
@@ -150,9 +151,9 @@
 		pattern: /^\/admin\/v1\/drain$/v,
 		path: '/admin/v1/drain',
 		role: 'operator',
-		perform(_call, services) {
+		handle(_request, services) {
 			services.drain();
-			return sendJson({isDraining: true}, 202);
+			return makeJsonReply({isDraining: true}, 202);
 		},
 	},
 ];
