--- a/packages/stand-ins/src/cloud-stand-in.ts
+++ b/packages/stand-ins/src/cloud-stand-in.ts
@@ -1,4 +1,4 @@
-/** The cloud API over HTTP: offers, starts by token, ends, and reclaim notices. */
+/** Test double of the cloud API: lists, starts and ends instances, and sends reclaim notices. */
 import * as z from 'zod';
 import {makeFaultTable, type FaultTable} from './faults.js';
 import {
@@ -24,23 +24,23 @@
 
 export type CloudStandIn = StandInServer & {
 	readonly faults: FaultTable;
-	/** Gives notice that an instance is taken away at `leavesAt`. */
+	/** Announces that an instance will be reclaimed at `leavesAt`. */
 	readonly giveNotice: (instanceId: string, leavesAt: number) => void;
 	readonly listStarted: () => StartedInstance[];
-	/** Every instance that was ever started, also those that have ended. */
+	/** Counts all instances started so far, including those that have ended. */
 	readonly countEverStarted: () => number;
 };
 
-const pollEveryMs = 20;
-const longestWaitMs = 30_000;
+const pollIntervalMs = 20;
+const maxWaitMs = 30_000;
 
-/** Operations for faults: `start`, `end`, `list`, `offers`, `notices`. */
+/** Faults can be added for the operations `start`, `end`, `list`, `offers` and `notices`. */
 export const startCloudStandIn = async (port = 0): Promise<CloudStandIn> => {
 	const faults = makeFaultTable();
 	const notices: Array<{instanceId: string; leavesAt: number}> = [];
-	const started = new Map<string, StartedInstance>();
-	/** A token starts one instance, also when that has ended. */
-	const everStarted = new Map<string, StartedInstance>();
+	const runningByToken = new Map<string, StartedInstance>();
+	/** Includes ended instances, because a token starts at most one instance. */
+	const allByToken = new Map<string, StartedInstance>();
 
 	const start = (body: unknown): JsonReply => {
 		const parsed = startSchema.safeParse(body);
@@ -48,21 +48,21 @@
 			return {status: 400, body: {error: 'token, availabilityZone, machineClass and reclaimable are needed'}};
 		}
 
-		const known = everStarted.get(parsed.data.token);
-		if (known !== undefined) {
-			return {status: 200, body: {...known, endedAt: started.has(known.token) ? undefined : known.startedAt}};
+		const existing = allByToken.get(parsed.data.token);
+		if (existing !== undefined) {
+			return {status: 200, body: {...existing, endedAt: runningByToken.has(existing.token) ? undefined : existing.startedAt}};
 		}
 
-		const instance = {...parsed.data, id: `started-${everStarted.size + 1}`, startedAt: Date.now()};
-		started.set(instance.token, instance);
-		everStarted.set(instance.token, instance);
+		const instance = {...parsed.data, id: `started-${allByToken.size + 1}`, startedAt: Date.now()};
+		runningByToken.set(instance.token, instance);
+		allByToken.set(instance.token, instance);
 		return {status: 201, body: instance};
 	};
 
 	const end = (id: string): JsonReply => {
-		for (const [token, instance] of started) {
+		for (const [token, instance] of runningByToken) {
 			if (instance.id === id) {
-				started.delete(token);
+				runningByToken.delete(token);
 				return {status: 200};
 			}
 		}
@@ -72,10 +72,10 @@
 
 	const readNotices = async (url: URL): Promise<JsonReply> => {
 		const from = Number(url.searchParams.get('from') ?? 0);
-		const waitUntil = Date.now() + Math.min(longestWaitMs, Number(url.searchParams.get('waitMs') ?? 0));
+		const waitUntil = Date.now() + Math.min(maxWaitMs, Number(url.searchParams.get('waitMs') ?? 0));
 		while (notices.length <= from && Date.now() < waitUntil) {
-			await new Promise(resolve => { // eslint-disable-line no-await-in-loop -- a poll of this process's own state
-				setTimeout(resolve, pollEveryMs);
+			await new Promise(resolve => { // eslint-disable-line no-await-in-loop -- polls
+				setTimeout(resolve, pollIntervalMs);
 			});
 		}
 
@@ -103,7 +103,7 @@
 		if (url.pathname === '/instances') {
 			await answerWithFaults(response, faults, 'list', () => ({
 				status: 200,
-				body: {instances: [...started.values()].map(instance => ({...instance, leavesAt: notices.find(notice => notice.instanceId === instance.id)?.leavesAt}))},
+				body: {instances: [...runningByToken.values()].map(instance => ({...instance, leavesAt: notices.find(notice => notice.instanceId === instance.id)?.leavesAt}))},
 			}));
 			return;
 		}
@@ -116,7 +116,7 @@
 		giveNotice(instanceId, leavesAt) {
 			notices.push({instanceId, leavesAt});
 		},
-		listStarted: () => [...started.values()],
-		countEverStarted: () => everStarted.size,
+		listStarted: () => [...runningByToken.values()],
+		countEverStarted: () => allByToken.size,
 	};
 };
--- a/packages/stand-ins/src/engine-core.test.ts
+++ b/packages/stand-ins/src/engine-core.test.ts
@@ -10,13 +10,13 @@
 	...defaultEngineParameters, stepMs: 10, sequenceMs: 1, prefillTokenMs: 0.5, prefillChunkTokens: 100, cacheTokens: 64 * 10,
 };
 
-const makeJob = (id: string, change: Partial<EngineJob> = {}): EngineJob => ({
-	id, prompt: '', promptTokens: 0, chain: [], priority: 0, maxTokens: 1, resumeAfter: -1, ...change,
+const makeJob = (id: string, overrides: Partial<EngineJob> = {}): EngineJob => ({
+	id, prompt: '', promptTokens: 0, chain: [], priority: 0, maxTokens: 1, resumeAfter: -1, ...overrides,
 });
 
 const makeChain = (first: number, blocks: number): bigint[] => Array.from({length: blocks}, (_value, index) => BigInt((first * 1000) + index));
 
-test('a step takes its fixed part, a part for each sequence and a part for each token read', () => {
+test('a step takes a fixed time, plus a time for each sequence and for each prompt token read', () => {
 	const engine = makeEngineCore(parameters);
 	engine.submit(makeJob('a', {promptTokens: 150, maxTokens: 2}));
 	engine.submit(makeJob('b', {promptTokens: 0, maxTokens: 1}));
@@ -26,9 +26,9 @@
 	assert.equal(engine.step(), undefined);
 });
 
-test('the prompt of an urgent call is read before that of a draft which came earlier', () => {
-	// A draft's long history is being read when a customer asks at the counter. Were prompts
-	// read in the order of arrival, the customer would wait for the whole history.
+test('the prompt of an urgent call is read before that of an earlier, less urgent call', () => {
+	// If prompts were read in the order of arrival, an urgent call would wait until the long prompt of
+	// the earlier call is read completely.
 	const engine = makeEngineCore(parameters);
 	engine.submit(makeJob('draft', {promptTokens: 1000, priority: 10}));
 	engine.step();
@@ -36,13 +36,13 @@
 	assert.deepEqual(engine.step()?.tokens.map(token => token.id), ['counter']);
 });
 
-test('what is cached is not read again until it is evicted, the least recently used first', () => {
+test('cached prompt blocks are not read again until they are evicted, least recently used first', () => {
 	const engine = makeEngineCore(parameters);
 	const run = (id: string, first: number, blocks: number): number => {
 		const before = engine.counts.recomputedTokens;
 		engine.submit(makeJob(id, {promptTokens: blocks * 64, chain: makeChain(first, blocks)}));
 		while (engine.step() !== undefined) {
-			// Until it is answered.
+			// Steps until the engine is idle.
 		}
 
 		return engine.counts.recomputedTokens - before;
@@ -56,7 +56,7 @@
 	assert.equal(run('6', 2, 4), 256);
 });
 
-test('each sequence gives its tokens once, in order and to the end, whatever else runs', () => {
+test('each sequence produces all its tokens once and in order, whatever else runs', () => {
 	const job = fc.record({
 		promptTokens: fc.nat(300), maxTokens: fc.integer({min: 1, max: 8}), priority: fc.nat(2), resumed: fc.nat(3),
 	});
--- a/packages/stand-ins/src/engine-core.ts
+++ b/packages/stand-ins/src/engine-core.ts
@@ -1,26 +1,26 @@
 /**
- * A model engine on paper: continuous batching, a prefix cache of limited memory
- * with eviction of the least recently used, priorities and lagging load reports.
- * Time is passed in, so that the same engine runs behind a server and on a
- * controlled clock.
+ * Simulates a model engine with continuous batching, priorities and a prefix cache of limited size that
+ * evicts the least recently used blocks. Steps only report their duration and do not wait, so the same
+ * engine can run behind a server and on a simulated clock.
  */
 import {blockCharacters, estimateTokens, hashPrompt} from '@shallotpass/core/routing/hash-prompt.js';
 
 export type EngineParameters = {
-	/** Milliseconds of one batch step, whatever is in it. */
+	/** Fixed duration of a batch step, in milliseconds. */
 	readonly stepMs: number;
-	/** Milliseconds that each running sequence adds to a step. */
+	/** Time that each running sequence adds to a step, in milliseconds. */
 	readonly sequenceMs: number;
-	/** Milliseconds to read one prompt token that is not cached. */
+	/** Time to read a prompt token that is not cached, in milliseconds. */
 	readonly prefillTokenMs: number;
-	/** Prompt tokens read in one step at the most. */
+	/** Maximum number of prompt tokens read in a step. */
 	readonly prefillChunkTokens: number;
+	/** Maximum number of sequences in a batch. */
 	readonly mostRunning: number;
-	/** Prompt tokens that the cache holds. */
+	/** Capacity of the prefix cache, in prompt tokens. */
 	readonly cacheTokens: number;
-	/** Milliseconds between two tokens of one sequence at the least; 0 gives one each step. */
+	/** Minimum time between two tokens of a sequence, in milliseconds. With 0, each step produces one. */
 	readonly paceMs: number;
-	/** Age of a load report, in milliseconds. */
+	/** Maximum age of a load report, in milliseconds. */
 	readonly loadLagMs: number;
 };
 
@@ -38,14 +38,14 @@
 export type EngineJob = {
 	readonly id: string;
 	readonly prompt: string;
-	/** The prompt's chain, where it is known already. */
+	/** Hashes of the prompt's blocks. Computed from the prompt by default. */
 	readonly chain?: readonly bigint[];
-	/** Its length, where it is known already. */
+	/** Length of the prompt. Estimated from its characters by default. */
 	readonly promptTokens?: number;
-	/** Lower is served first. */
+	/** Lower values are served first. */
 	readonly priority: number;
 	readonly maxTokens: number;
-	/** Tokens that the caller already has; read again like a prompt. */
+	/** Index of the last token that the caller already has, or -1. The tokens up to it are read again like a prompt. */
 	readonly resumeAfter: number;
 };
 
@@ -55,7 +55,7 @@
 	readonly chain: readonly bigint[];
 	prefillLeft: number;
 	produced: number;
-	/** When the next token may come, in milliseconds of engine time. */
+	/** Earliest time of the next token, in milliseconds of engine time. */
 	dueAt: number;
 };
 
@@ -63,7 +63,7 @@
 
 export type StepResult = {
 	readonly durationMs: number;
-	/** Tokens that are ready when the step ends. */
+	/** Tokens produced by the step. */
 	readonly tokens: readonly TokenEvent[];
 };
 
@@ -71,35 +71,36 @@
 
 export type EngineCounts = {
 	promptTokens: number;
-	/** Prompt tokens read because the cache did not hold them. */
+	/** Tokens read because they were not cached, including those of resumed responses. */
 	recomputedTokens: number;
 };
 
 export type EngineCore = {
 	readonly submit: (job: EngineJob) => void;
 	readonly cancel: (id: string) => boolean;
-	/** Runs one batch step; undefined when there is nothing to do. */
+	/** Runs one batch step. Returns undefined if there are no sequences. */
 	readonly step: () => StepResult | undefined;
 	readonly getLoad: () => {running: number; queued: number; cachedTokens: number};
 	readonly counts: EngineCounts;
-	/** Cache events since the last call. */
+	/** Returns the cache events since the previous call. */
 	readonly takeEvents: () => CacheEvent[];
 };
 
 const blockTokens = estimateTokens(blockCharacters);
 
 type PrefixCache = {
-	readonly countLeading: (chain: readonly bigint[]) => number;
+	/** Counts the cached blocks at the beginning of the chain, up to the first that is not cached. */
+	readonly countCachedBlocks: (chain: readonly bigint[]) => number;
 	readonly store: (chain: readonly bigint[]) => void;
 	readonly size: () => number;
 };
 
-const makePrefixCache = (mostBlocks: number, note: (event: CacheEvent) => void): PrefixCache => {
+const makePrefixCache = (maxBlocks: number, onEvent: (event: CacheEvent) => void): PrefixCache => {
 	const blocks = new Map<bigint, true>();
 	const evict = (): void => {
 		const evicted: string[] = [];
 		for (const hash of blocks.keys()) {
-			if (blocks.size <= mostBlocks) {
+			if (blocks.size <= maxBlocks) {
 				break;
 			}
 
@@ -108,12 +109,12 @@
 		}
 
 		if (evicted.length > 0) {
-			note({kind: 'evicted', blocks: evicted});
+			onEvent({kind: 'evicted', blocks: evicted});
 		}
 	};
 
 	return {
-		countLeading(chain) {
+		countCachedBlocks(chain) {
 			let count = 0;
 			while (count < chain.length && blocks.has(chain[count]!)) {
 				count++;
@@ -123,14 +124,14 @@
 		},
 		store(chain) {
 			const added = chain.filter(hash => !blocks.has(hash));
-			// The beginning of a chain is refreshed last, so that it outlives its end.
+			// Refreshes the first blocks of a chain last, so that they are evicted after the later ones.
 			for (const hash of chain.toReversed()) {
 				blocks.delete(hash);
 				blocks.set(hash, true);
 			}
 
 			if (added.length > 0) {
-				note({kind: 'stored', blocks: added.map(hash => hash.toString(16))});
+				onEvent({kind: 'stored', blocks: added.map(hash => hash.toString(16))});
 			}
 
 			evict();
@@ -150,13 +151,13 @@
 	const counts: EngineCounts = {promptTokens: 0, recomputedTokens: 0};
 
 	const start = (sequence: Sequence): void => {
-		const cached = Math.min(sequence.promptTokens, cache.countLeading(sequence.chain) * blockTokens);
+		const cached = Math.min(sequence.promptTokens, cache.countCachedBlocks(sequence.chain) * blockTokens);
 		const resumed = Math.max(0, sequence.job.resumeAfter + 1);
 		sequence.prefillLeft = sequence.promptTokens - cached + resumed;
 		counts.promptTokens += sequence.promptTokens;
 		counts.recomputedTokens += sequence.prefillLeft;
 		running.push(sequence);
-		// A prompt that is cached to its end is used all the same, and must not be the next to go.
+		// A fully cached prompt is not read, so its blocks are refreshed here to keep them from being evicted next.
 		if (sequence.prefillLeft === 0) {
 			cache.store(sequence.chain);
 		}
@@ -169,24 +170,25 @@
 		}
 	};
 
-	/** Reads prompts within the step's share, the most urgent first; returns the tokens read. */
+	/** Reads prompt tokens up to the limit of a step, the most urgent sequences first. Returns the number of tokens read. */
 	const prefill = (): number => {
-		let left = parameters.prefillChunkTokens;
-		const reading = running
+		let remaining = parameters.prefillChunkTokens;
+		const prefilling = running
 			.filter(sequence => sequence.prefillLeft > 0)
 			.toSorted((one, other) => one.job.priority - other.job.priority);
-		for (const sequence of reading) {
-			const read = Math.min(left, sequence.prefillLeft);
-			sequence.prefillLeft -= read;
-			left -= read;
+		for (const sequence of prefilling) {
+			const tokensRead = Math.min(remaining, sequence.prefillLeft);
+			sequence.prefillLeft -= tokensRead;
+			remaining -= tokensRead;
 			if (sequence.prefillLeft === 0) {
 				cache.store(sequence.chain);
 			}
 		}
 
-		return parameters.prefillChunkTokens - left;
+		return parameters.prefillChunkTokens - remaining;
 	};
 
+	/** Produces the next token of each sequence that has read its prompt, and removes finished sequences. */
 	const decode = (): TokenEvent[] => {
 		const tokens: TokenEvent[] = [];
 		for (const sequence of running) {
@@ -201,8 +203,8 @@
 			tokens.push({id: sequence.job.id, index, isLast: index + 1 >= sequence.job.maxTokens});
 		}
 
-		const ended = new Set(tokens.filter(token => token.isLast).map(token => token.id));
-		running = running.filter(sequence => !ended.has(sequence.job.id));
+		const endedIds = new Set(tokens.filter(token => token.isLast).map(token => token.id));
+		running = running.filter(sequence => !endedIds.has(sequence.job.id));
 		return tokens;
 	};
 
@@ -231,17 +233,17 @@
 			}
 
 			const sequences = running.length;
-			const read = prefill();
-			const durationMs = parameters.stepMs + (sequences * parameters.sequenceMs) + (read * parameters.prefillTokenMs);
+			const tokensRead = prefill();
+			const durationMs = parameters.stepMs + (sequences * parameters.sequenceMs) + (tokensRead * parameters.prefillTokenMs);
 			elapsedMs += durationMs;
 			return {durationMs, tokens: decode()};
 		},
 		getLoad: () => ({running: running.length, queued: waiting.length, cachedTokens: cache.size() * blockTokens}),
 		counts,
 		takeEvents() {
-			const taken = events;
+			const takenEvents = events;
 			events = [];
-			return taken;
+			return takenEvents;
 		},
 	};
 };
--- a/packages/stand-ins/src/engine-stand-in.ts
+++ b/packages/stand-ins/src/engine-stand-in.ts
@@ -1,5 +1,5 @@
 /* eslint-disable @typescript-eslint/naming-convention -- names of the OpenAI wire format */
-/** A model engine over HTTP, around the engine on paper. */
+/** Test double of a model engine over HTTP, based on the simulated engine. */
 import {type ServerResponse} from 'node:http';
 import {setImmediate as nextTurn, setTimeout as sleep} from 'node:timers/promises';
 import {randomUUID} from 'node:crypto';
@@ -41,9 +41,9 @@
 type ChatBody = z.output<typeof chatSchema>;
 
 type OpenStream = {
-	/** Id of its chunks; a resumed stream has that of the one before it. */
+	/** Id in the chunks. A resumed stream keeps the id of the stream that it continues. */
 	readonly id: string;
-	/** Its own name within the engine. */
+	/** Unique id within the simulated engine. */
 	readonly jobId: string;
 	readonly body: ChatBody;
 	readonly marker: string;
@@ -57,13 +57,13 @@
 export type EngineStandIn = StandInServer & {
 	readonly faults: FaultTable;
 	readonly counts: EngineCounts;
-	/** Chat requests that the engine began to work on, or that ended it. */
+	/** Chat requests that the engine started to process, and those that crashed it. */
 	readonly arrivals: ReadonlyArray<{readonly marker: string; readonly at: number}>;
-	/** Requests that reached the engine, resumed ones included. */
+	/** Counts the chat requests received, including resumed ones. */
 	readonly countRequests: () => number;
 	readonly countCancelled: () => number;
 	readonly countRunning: () => number;
-	/** Orders that were carried out. */
+	/** Accepted orders. */
 	readonly orders: ReadonlyArray<z.output<typeof ordersSchema>>;
 };
 
@@ -71,15 +71,15 @@
 	readonly models?: readonly string[];
 	readonly parameters?: Partial<EngineParameters>;
 	readonly checksFencing?: boolean;
-	/** A prompt that holds this text ends the engine without notice. */
+	/** A prompt that contains this text crashes the engine. */
 	readonly crashMarker?: string;
 	readonly port?: number;
 };
 
-/** Text of one token: the request's own marker and the index, so that a reader can tell whose it is. */
+/** Returns the text of a token. It contains the request's marker and the token's index, so that a test can check where a token comes from. */
 export const makeTokenText = (marker: string, index: number): string => `${marker}:${index} `;
 
-/** The first word of the last message; what its tokens are marked with. */
+/** Returns the marker of a request, which is the first word of its last message. */
 export const getMarker = (messages: ReadonlyArray<{readonly content: string}>): string => messages.at(-1)!.content.split(/\s/v, 1)[0] ?? '';
 
 const makeChunk = (stream: OpenStream, delta: Record<string, unknown>, finishReason?: string): string => `data: ${JSON.stringify({
@@ -90,7 +90,7 @@
 	choices: [{index: 0, delta, finish_reason: finishReason ?? null}],
 })}\n\n`;
 
-const makeWhole = (stream: OpenStream): unknown => ({
+const makeCompletion = (stream: OpenStream): unknown => ({
 	id: stream.id,
 	object: 'chat.completion',
 	created: 0,
@@ -99,7 +99,7 @@
 	usage: {completion_tokens: stream.pieces.length},
 });
 
-/** Operations for faults: `chat`, `load`, `cancel`, `events`, `orders`, `kv`. */
+/** Faults can be added for the operations `chat`, `load`, `cancel`, `events` and `orders`. */
 export const startEngineStandIn = async (options: EngineOptions = {}): Promise<EngineStandIn> => {
 	const parameters = {...defaultEngineParameters, ...options.parameters};
 	const core = makeEngineCore(parameters);
@@ -121,10 +121,11 @@
 			return;
 		}
 
-		sendJson(stream.response, {status: 200, body: makeWhole(stream)});
+		sendJson(stream.response, {status: 200, body: makeCompletion(stream)});
 	};
 
-	const strike = (stream: OpenStream): boolean => {
+	/** Applies the fault of a stream if it is due. Returns whether the current token is suppressed by it. */
+	const applyFault = (stream: OpenStream): boolean => {
 		const {fault} = stream;
 		if (fault === undefined || stream.sent < (fault.afterChunks ?? 0)) {
 			return false;
@@ -163,7 +164,7 @@
 
 	const emitToken = (token: TokenEvent): void => {
 		const stream = streams.get(token.id);
-		if (stream === undefined || stream.isSilent || strike(stream)) {
+		if (stream === undefined || stream.isSilent || applyFault(stream)) {
 			return;
 		}
 
@@ -180,35 +181,35 @@
 		}
 	};
 
-	const noteEvents = (): void => {
+	const recordEvents = (): void => {
 		for (const event of core.takeEvents()) {
 			events.push({...event, seq: events.length});
 		}
 	};
 
-	const run = async (): Promise<void> => {
+	const runSteps = async (): Promise<void> => {
 		if (isRunning) {
 			return;
 		}
 
 		isRunning = true;
-		let owedMs = 0;
+		let pendingMs = 0;
 		for (let step = core.step(); step !== undefined; step = isClosed ? undefined : core.step()) {
-			owedMs += step.durationMs;
-			// Timers are no finer than a millisecond; shorter steps are gathered up.
-			if (owedMs >= 1) {
+			pendingMs += step.durationMs;
+			// Timers have a resolution of one millisecond, so shorter steps are accumulated.
+			if (pendingMs >= 1) {
 				const startedAt = performance.now();
-				await sleep(owedMs); // eslint-disable-line no-await-in-loop -- steps follow each other
-				owedMs -= performance.now() - startedAt;
+				await sleep(pendingMs); // eslint-disable-line no-await-in-loop -- steps are sequential
+				pendingMs -= performance.now() - startedAt;
 			} else {
-				await nextTurn(); // eslint-disable-line no-await-in-loop -- steps follow each other
+				await nextTurn(); // eslint-disable-line no-await-in-loop -- steps are sequential
 			}
 
 			for (const token of step.tokens) {
 				emitToken(token);
 			}
 
-			noteEvents();
+			recordEvents();
 		}
 
 		isRunning = false;
@@ -240,14 +241,14 @@
 			maxTokens: body.max_tokens,
 			resumeAfter: body.resume?.after ?? -1,
 		});
-		void run();
+		void runSteps();
 	};
 
-	const noteArrival = (body: ChatBody): void => {
+	const recordArrival = (body: ChatBody): void => {
 		arrivals.push({marker: getMarker(body.messages), at: Date.now()});
 	};
 
-	const chat = async (body: unknown, response: ServerResponse, requestId: string): Promise<void> => {
+	const handleChat = async (body: unknown, response: ServerResponse, requestId: string): Promise<void> => {
 		requests++;
 		const parsed = chatSchema.safeParse(body);
 		if (!parsed.success || !(options.models ?? [parsed.data.model]).includes(parsed.data.model)) {
@@ -256,7 +257,7 @@
 		}
 
 		if (options.crashMarker !== undefined && JSON.stringify(parsed.data.messages).includes(options.crashMarker)) {
-			noteArrival(parsed.data);
+			recordArrival(parsed.data);
 			await close();
 			return;
 		}
@@ -271,11 +272,12 @@
 			await sleep(fault.delayMs ?? 100);
 		}
 
-		noteArrival(parsed.data);
+		recordArrival(parsed.data);
 		openStream(parsed.data, response, requestId, fault);
 	};
 
-	const getReport = (): JsonReply => {
+	/** Returns the last load report, and renews it if it has reached its maximum age. */
+	const getLoadReport = (): JsonReply => {
 		const now = Date.now();
 		if (now - report.at >= parameters.loadLagMs) {
 			report = {...core.getLoad(), at: now};
@@ -284,7 +286,7 @@
 		return {status: 200, body: report};
 	};
 
-	const takeOrder = (body: unknown): JsonReply => {
+	const handleOrder = (body: unknown): JsonReply => {
 		const parsed = ordersSchema.safeParse(body);
 		if (!parsed.success) {
 			return {status: 400};
@@ -303,12 +305,12 @@
 		const route = `${request.method} ${url.pathname}`;
 		if (route === 'POST /v1/chat/completions') {
 			const requestId = String(request.headers['x-request-id'] ?? randomUUID());
-			await chat(await readJson(request), response, requestId);
+			await handleChat(await readJson(request), response, requestId);
 			return;
 		}
 
 		if (route === 'GET /load') {
-			await answerWithFaults(response, faults, 'load', getReport);
+			await answerWithFaults(response, faults, 'load', getLoadReport);
 			return;
 		}
 
@@ -320,20 +322,20 @@
 
 		if (route === 'POST /orders') {
 			const body = await readJson(request);
-			await answerWithFaults(response, faults, 'orders', () => takeOrder(body));
+			await answerWithFaults(response, faults, 'orders', () => handleOrder(body));
 			return;
 		}
 
 		if (request.method === 'DELETE' && url.pathname.startsWith('/v1/requests/')) {
 			const id = decodeURIComponent(url.pathname.slice('/v1/requests/'.length));
 			await answerWithFaults(response, faults, 'cancel', () => {
-				const known = [...streams.values()].filter(stream => stream.id === id);
-				for (const stream of known) {
+				const matching = [...streams.values()].filter(stream => stream.id === id);
+				for (const stream of matching) {
 					core.cancel(stream.jobId);
 					stream.response.destroy();
 				}
 
-				return {status: known.length > 0 ? 200 : 404};
+				return {status: matching.length > 0 ? 200 : 404};
 			});
 			return;
 		}
--- a/packages/stand-ins/src/faults.ts
+++ b/packages/stand-ins/src/faults.ts
@@ -1,26 +1,27 @@
-/** The table of faults that a stand-in obeys. */
+/** Faults that tests inject into stand-ins. */
 
 export type Fault = {
-	/** Operation it strikes, as the stand-in names it. */
+	/** Operation of the stand-in that the fault affects. */
 	readonly on: string;
 	/**
-	 * `delay` answers late, `lose_reply` takes effect and closes the connection,
-	 * `refuse` answers 503 without effect, `silent` never answers, `break` answers
-	 * with what cannot be read, `mismatch` answers under another request's id,
-	 * `cut` breaks off in the middle of the answer.
+	 * `delay` responds late, `lose_reply` performs the operation and closes the connection without a
+	 * response, `refuse` responds with 503 and does not perform the operation, `silent` never responds,
+	 * `break` sends an unreadable response, `mismatch` responds with the id of another request, and `cut`
+	 * aborts the response in the middle.
 	 */
 	readonly kind: 'delay' | 'lose_reply' | 'refuse' | 'silent' | 'break' | 'mismatch' | 'cut';
-	/** How often it strikes; for good when absent. */
+	/** Number of times that the fault applies. Unlimited by default. */
 	readonly times?: number;
 	readonly delayMs?: number;
-	/** Token chunks before a stream is cut or goes silent. */
+	/** Number of token chunks that a stream sends before the fault takes effect. */
 	readonly afterChunks?: number;
 };
 
 export type FaultTable = {
 	readonly add: (fault: Fault) => void;
+	/** Removes the faults of an operation, or all faults by default. */
 	readonly clear: (on?: string) => void;
-	/** The fault that strikes this operation now, if any; counts it. */
+	/** Returns the fault that applies to the current call of the operation, if any, and counts it as used. */
 	readonly take: (on: string) => Fault | undefined;
 };
 
--- a/packages/stand-ins/src/http-stand-in.ts
+++ b/packages/stand-ins/src/http-stand-in.ts
@@ -1,4 +1,4 @@
-/** What the HTTP stand-ins share: a server on a free port, JSON in and out, and faults. */
+/** Shared functions of the HTTP stand-ins: starting a server, JSON bodies, and fault injection. */
 import {Buffer} from 'node:buffer';
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -8,7 +8,7 @@
 export type StandInServer = {
 	readonly address: string;
 	readonly url: string;
-	/** Closes the listener and every connection at once, as a crash does. */
+	/** Closes the listener and all connections immediately, as in a crash. */
 	readonly close: () => Promise<void>;
 };
 
@@ -20,6 +20,7 @@
 
 export type StandInHandler = (request: IncomingMessage, response: ServerResponse) => Promise<void> | void;
 
+/** Starts an HTTP server on the port, or on a free port if it is 0. */
 export const startStandIn = async (handler: StandInHandler, port = 0): Promise<StandInServer> => {
 	const server = createServer({keepAliveTimeout: 60_000}, (request, response) => {
 		(async () => {
@@ -67,17 +68,17 @@
 	response.end(text);
 };
 
-/** Answers an operation under its faults; `act` has the effect and gives the reply. */
+/** Responds to an operation, subject to its faults. `execute` performs the operation and returns the reply. */
 export const answerWithFaults = async (
 	response: ServerResponse,
 	faults: FaultTable,
 	operation: string,
-	act: () => JsonReply | Promise<JsonReply>,
+	execute: () => JsonReply | Promise<JsonReply>,
 ): Promise<void> => {
 	const fault = faults.take(operation);
 	switch (fault?.kind) {
 		case undefined: {
-			sendJson(response, await act());
+			sendJson(response, await execute());
 			return;
 		}
 
@@ -92,13 +93,13 @@
 
 		case 'lose_reply':
 		case 'cut': {
-			await act();
+			await execute();
 			response.destroy();
 			return;
 		}
 
 		case 'delay': {
-			const reply = await act();
+			const reply = await execute();
 			await sleep(fault.delayMs ?? 100);
 			sendJson(response, reply);
 			return;
@@ -106,7 +107,7 @@
 
 		case 'break':
 		case 'mismatch': {
-			await act();
+			await execute();
 			response.end('{"not": "what was asked');
 		}
 	}
--- a/packages/stand-ins/src/instance-list-stand-in.ts
+++ b/packages/stand-ins/src/instance-list-stand-in.ts
@@ -1,4 +1,4 @@
-/** The platform's instance list over HTTP; it can lag behind what was set. */
+/** Test double of the platform's instance list. Changes can become visible with a delay. */
 import {
 	instanceListSchema, listedInstanceSchema, type InstanceList, type ListedInstance,
 } from '@shallotpass/common/instance-list.js';
@@ -14,12 +14,12 @@
 };
 
 type InstanceListOptions = {
-	/** How long a change stays unseen, in milliseconds. */
+	/** Delay until a change becomes visible, in milliseconds. */
 	readonly lagMs?: number;
 	readonly port?: number;
 };
 
-/** Operation for faults: `list`. */
+/** Faults can be added for the operation `list`. */
 export const startInstanceListStandIn = async ({lagMs = 0, port = 0}: InstanceListOptions = {}): Promise<InstanceListStandIn> => {
 	const faults = makeFaultTable();
 	const instances = new Map<string, ListedInstance>();
--- a/packages/stand-ins/src/log-stand-in.ts
+++ b/packages/stand-ins/src/log-stand-in.ts
@@ -1,4 +1,4 @@
-/** The platform's log service over HTTP, with faults and trimming. */
+/** Test double of the platform's log service, with faults and trimming. */
 import {systemClock} from '@shallotpass/common/clock.js';
 import {addMilliseconds, type LogOffset} from '@shallotpass/common/types.js';
 import {makeMemoryLog, type MemoryLog} from '@shallotpass/provider/memory-log.js';
@@ -25,9 +25,9 @@
 	limit: z.coerce.number().int().positive().default(100),
 });
 
-const longestWaitMs = 30_000;
+const maxWaitMs = 30_000;
 
-/** Operations for faults: `append`, `read`. */
+/** Faults can be added for the operations `append` and `read`. */
 export const startLogStandIn = async (port = 0): Promise<LogStandIn> => {
 	const log = makeMemoryLog(systemClock);
 	const faults = makeFaultTable();
@@ -43,7 +43,7 @@
 
 	const read = async (stream: string, url: URL, signal: AbortSignal): Promise<JsonReply> => {
 		const {from, waitMs, limit} = querySchema.parse(Object.fromEntries(url.searchParams));
-		const waitUntil = waitMs === 0 ? undefined : addMilliseconds(Date.now(), Math.min(waitMs, longestWaitMs));
+		const waitUntil = waitMs === 0 ? undefined : addMilliseconds(Date.now(), Math.min(waitMs, maxWaitMs));
 		const reading = await log.read({
 			stream, from: from as LogOffset, limit, waitUntil, signal,
 		});
@@ -61,9 +61,9 @@
 		}
 
 		const stream = decodeURIComponent(name);
-		const gone = new AbortController();
+		const disconnectController = new AbortController();
 		response.once('close', () => {
-			gone.abort();
+			disconnectController.abort();
 		});
 		if (request.method === 'POST') {
 			const body = await readJson(request);
@@ -71,7 +71,7 @@
 			return;
 		}
 
-		await answerWithFaults(response, faults, 'read', async () => read(stream, url, gone.signal));
+		await answerWithFaults(response, faults, 'read', async () => read(stream, url, disconnectController.signal));
 	}, port);
 	return {...server, log, faults};
 };
--- a/packages/stand-ins/src/plain-service-stand-in.ts
+++ b/packages/stand-ins/src/plain-service-stand-in.ts
@@ -1,4 +1,4 @@
-/** A plain application service that counts what it executes, such as reservations. */
+/** Test double of an application service, such as one for reservations. It records each call that it executes. */
 import {makeFaultTable, type FaultTable} from './faults.js';
 import {
 	readBody, sendJson, startStandIn, type StandInServer,
@@ -11,19 +11,20 @@
 	readonly requestId: string;
 	readonly fencing: number | undefined;
 	readonly idempotencyKey: string | undefined;
-	/** When it began, milliseconds since the epoch. */
+	/** Start of the execution, in milliseconds since the epoch. */
 	readonly at: number;
 };
 
 export type PlainServiceStandIn = StandInServer & {
 	readonly faults: FaultTable;
-	/** Every call that was executed, in order. */
+	/** Executed calls, in order. */
 	readonly executions: readonly Execution[];
+	/** Counts the calls received, including those that were not executed. */
 	readonly countSeen: () => number;
 };
 
 type PlainServiceOptions = {
-	/** Refuses calls whose fencing number is lower than one seen before, for the same key. */
+	/** Whether to refuse calls whose fencing number is lower than that of an earlier call with the same idempotency key. */
 	readonly checksFencing?: boolean;
 	readonly port?: number;
 	readonly id?: string;
@@ -31,14 +32,15 @@
 
 const getHeader = (value: string | string[] | undefined): string | undefined => Array.isArray(value) ? value[0] : value;
 
-/** Operation for faults: `call`. */
+/** Faults can be added for the operation `call`. */
 export const startPlainServiceStandIn = async (options: PlainServiceOptions = {}): Promise<PlainServiceStandIn> => {
 	const faults = makeFaultTable();
 	const executions: Execution[] = [];
 	const highestFencing = new Map<string, number>();
-	let seen = 0;
+	let received = 0;
 
-	const isFencedOff = (execution: Execution): boolean => {
+	/** Records the fencing number and returns whether it is lower than an earlier one for the same key. */
+	const detectStaleFencing = (execution: Execution): boolean => {
 		if (options.checksFencing !== true || execution.fencing === undefined || execution.idempotencyKey === undefined) {
 			return false;
 		}
@@ -49,7 +51,7 @@
 	};
 
 	const server = await startStandIn(async (request, response) => {
-		seen++;
+		received++;
 		const body = await readBody(request);
 		const fencing = getHeader(request.headers['x-fencing']);
 		const execution: Execution = {
@@ -67,7 +69,7 @@
 			return;
 		}
 
-		if (isFencedOff(execution)) {
+		if (detectStaleFencing(execution)) {
 			sendJson(response, {status: 409, body: {error: 'an older fencing number'}, headers: {'x-request-id': execution.requestId}});
 			return;
 		}
@@ -112,6 +114,6 @@
 		...server,
 		faults,
 		executions,
-		countSeen: () => seen,
+		countSeen: () => received,
 	};
 };
--- a/packages/stand-ins/src/relay.ts
+++ b/packages/stand-ins/src/relay.ts
@@ -1,18 +1,18 @@
-/** What lies between two ends of the network: it passes bytes, loses track of connections, or is cut. */
+/** TCP relay that simulates network faults between two endpoints. */
 import {connect, createServer, type Socket} from 'node:net';
 import {listenAt} from '@shallotpass/common/listen.js';
 
 export type RelayMode =
 	| 'open'
-	/** New connections are refused and open ones closed. */
+	/** New connections are refused and open ones are closed. */
 	| 'cut'
-	/** Open connections stay and carry nothing any more; new ones work. */
+	/** Open connections stay open but drop all data, as with a NAT that has lost its entries. New connections work. */
 	| 'forgetful'
-	/** Open connections are reset; new ones work. */
+	/** Open connections are reset. New connections work. */
 	| 'reset'
-	/** What is asked gets through, and no answer comes back. */
+	/** Requests are forwarded and responses are dropped. */
 	| 'one_way'
-	/** Nothing gets through and nobody is told. */
+	/** All data is dropped, and connections stay open. */
 	| 'silent';
 
 export type Relay = {
@@ -20,30 +20,30 @@
 	readonly url: string;
 	readonly setTarget: (target: string) => void;
 	readonly setMode: (mode: RelayMode) => void;
-	/** Cuts off whoever connects from one of these addresses, and nobody else. */
+	/** Closes and refuses connections from these addresses only. Replaces the previous addresses. */
 	readonly block: (remoteAddresses: readonly string[]) => void;
 	readonly setDelay: (milliseconds: number) => void;
-	/** Bytes passed in both directions. */
+	/** Counts the bytes received in both directions, including those that were dropped. */
 	readonly countBytes: () => number;
 	readonly close: () => Promise<void>;
 };
 
-/** `firstTarget` may be left out and set later: the relay then keeps its own address while its target is started. */
-export const startRelay = async (firstTarget?: string): Promise<Relay> => {
-	let target = firstTarget;
+/** The target can be set later, so that the address of the relay is known before the target is started. */
+export const startRelay = async (initialTarget?: string): Promise<Relay> => {
+	let target = initialTarget;
 	const sockets = new Set<Socket>();
-	const forgotten = new WeakSet<Socket>();
+	const silencedSockets = new WeakSet<Socket>();
 	let mode: RelayMode = 'open';
 	let blocked = new Set<string>();
 	let delayMs = 0;
 	let bytes = 0;
 
-	const isMute = (socket: Socket): boolean => mode === 'silent' || forgotten.has(socket);
+	const isSilenced = (socket: Socket): boolean => mode === 'silent' || silencedSockets.has(socket);
 
-	const pass = (from: Socket, to: Socket, isAnswer: boolean): void => {
+	const forward = (from: Socket, to: Socket, isResponse: boolean): void => {
 		from.on('data', chunk => {
 			bytes += chunk.length;
-			if (isMute(from) || (isAnswer && mode === 'one_way')) {
+			if (isSilenced(from) || (isResponse && mode === 'one_way')) {
 				return;
 			}
 
@@ -56,17 +56,17 @@
 				to.write(chunk);
 			}, delayMs);
 		});
-		from.on('error', () => {/* close follows */});
+		from.on('error', () => {/* handled by the close event */});
 		from.on('close', () => {
 			sockets.delete(from);
-			if (!isMute(from)) {
+			if (!isSilenced(from)) {
 				to.destroy();
 			}
 		});
 	};
 
-	/** What a mode does to connections that are open when it begins. */
-	const strikes: Partial<Record<RelayMode, (socket: Socket) => void>> = {
+	/** Effects of modes on connections that are open when the mode is set. */
+	const effectsOnOpenSockets: Partial<Record<RelayMode, (socket: Socket) => void>> = {
 		cut(socket) {
 			socket.destroy();
 		},
@@ -74,32 +74,32 @@
 			socket.resetAndDestroy();
 		},
 		forgetful(socket) {
-			forgotten.add(socket);
+			silencedSockets.add(socket);
 		},
 	};
 
-	const server = createServer(near => {
-		if (mode === 'cut' || blocked.has(near.remoteAddress ?? '')) {
-			near.destroy();
+	const server = createServer(client => {
+		if (mode === 'cut' || blocked.has(client.remoteAddress ?? '')) {
+			client.destroy();
 			return;
 		}
 
-		sockets.add(near);
+		sockets.add(client);
 		if (mode === 'silent') {
-			near.on('error', () => {/* nobody listens */});
+			client.on('error', () => {/* the connection is not forwarded */});
 			return;
 		}
 
 		const [host, port] = (target ?? '').split(':');
 		if (host === undefined || port === undefined) {
-			near.destroy();
+			client.destroy();
 			return;
 		}
 
-		const far = connect(Number(port), host);
-		sockets.add(far);
-		pass(near, far, false);
-		pass(far, near, true);
+		const upstream = connect(Number(port), host);
+		sockets.add(upstream);
+		forward(client, upstream, false);
+		forward(upstream, client, true);
 	});
 	const address = await listenAt(server, {host: '127.0.0.1', port: 0});
 	return {
@@ -110,10 +110,10 @@
 		},
 		setMode(next) {
 			mode = next === 'forgetful' || next === 'reset' ? 'open' : next;
-			const strike = strikes[next];
-			if (strike !== undefined) {
+			const applyEffect = effectsOnOpenSockets[next];
+			if (applyEffect !== undefined) {
 				for (const socket of sockets) {
-					strike(socket);
+					applyEffect(socket);
 				}
 			}
 		},
