--- a/apps/daemon/src/start-daemon.ts
+++ b/apps/daemon/src/start-daemon.ts
@@ -261,8 +261,8 @@
 		return drainPromise;
 	};
 
-	const isModelService = (serviceId: string): boolean => [...configuration.getActiveConfigurations().teams.values()].some(({team, configuration: file}) =>
-		file.service.some(service => service.kind === 'model' && makeServiceId(team, service.name) === serviceId));
+	const isModelService = (serviceId: string): boolean => [...configuration.getActiveConfigurations().teams.values()].some(({team, configuration: teamConfiguration}) =>
+		teamConfiguration.service.some(service => service.kind === 'model' && makeServiceId(team, service.name) === serviceId));
 
 	membership.start(options.announcePeersAs ?? makeAnnouncedAddress(settings, peerServer.address));
 	void runLoadReports({
--- a/packages/stand-ins/src/engine-core.ts
+++ b/packages/stand-ins/src/engine-core.ts
@@ -53,8 +53,8 @@
 	readonly job: EngineJob;
 	readonly promptTokens: number;
 	readonly chain: readonly bigint[];
-	prefillLeft: number;
-	produced: number;
+	prefillRemaining: number;
+	producedTokens: number;
 	/** Earliest time of the next token, in milliseconds of engine time. */
 	dueAt: number;
 };
@@ -153,12 +153,12 @@
 	const start = (sequence: Sequence): void => {
 		const cached = Math.min(sequence.promptTokens, cache.countCachedBlocks(sequence.chain) * blockTokens);
 		const resumed = Math.max(0, sequence.job.resumeAfter + 1);
-		sequence.prefillLeft = sequence.promptTokens - cached + resumed;
+		sequence.prefillRemaining = sequence.promptTokens - cached + resumed;
 		counts.promptTokens += sequence.promptTokens;
-		counts.recomputedTokens += sequence.prefillLeft;
+		counts.recomputedTokens += sequence.prefillRemaining;
 		running.push(sequence);
 		// A fully cached prompt is not read, so its blocks are refreshed here to keep them from being evicted next.
-		if (sequence.prefillLeft === 0) {
+		if (sequence.prefillRemaining === 0) {
 			cache.store(sequence.chain);
 		}
 	};
@@ -174,13 +174,13 @@
 	const prefill = (): number => {
 		let remaining = parameters.prefillChunkTokens;
 		const prefilling = running
-			.filter(sequence => sequence.prefillLeft > 0)
+			.filter(sequence => sequence.prefillRemaining > 0)
 			.toSorted((one, other) => one.job.priority - other.job.priority);
 		for (const sequence of prefilling) {
-			const tokensRead = Math.min(remaining, sequence.prefillLeft);
-			sequence.prefillLeft -= tokensRead;
+			const tokensRead = Math.min(remaining, sequence.prefillRemaining);
+			sequence.prefillRemaining -= tokensRead;
 			remaining -= tokensRead;
-			if (sequence.prefillLeft === 0) {
+			if (sequence.prefillRemaining === 0) {
 				cache.store(sequence.chain);
 			}
 		}
@@ -192,14 +192,14 @@
 	const decode = (): TokenEvent[] => {
 		const tokens: TokenEvent[] = [];
 		for (const sequence of running) {
-			if (sequence.prefillLeft > 0 || sequence.dueAt > elapsedMs) {
+			if (sequence.prefillRemaining > 0 || sequence.dueAt > elapsedMs) {
 				continue;
 			}
 
 			sequence.dueAt = elapsedMs + parameters.paceMs;
 
-			const index = sequence.job.resumeAfter + 1 + sequence.produced;
-			sequence.produced++;
+			const index = sequence.job.resumeAfter + 1 + sequence.producedTokens;
+			sequence.producedTokens++;
 			tokens.push({id: sequence.job.id, index, isLast: index + 1 >= sequence.job.maxTokens});
 		}
 
@@ -212,7 +212,7 @@
 		submit(job) {
 			const promptTokens = job.promptTokens ?? estimateTokens(job.prompt.length);
 			waiting.push({
-				job, promptTokens, chain: job.chain ?? hashPrompt(job.prompt), prefillLeft: 0, produced: 0, dueAt: 0,
+				job, promptTokens, chain: job.chain ?? hashPrompt(job.prompt), prefillRemaining: 0, producedTokens: 0, dueAt: 0,
 			});
 		},
 		cancel(id) {
--- a/packages/stand-ins/src/engine-stand-in.ts
+++ b/packages/stand-ins/src/engine-stand-in.ts
@@ -49,8 +49,8 @@
 	readonly marker: string;
 	readonly response: ServerResponse;
 	readonly fault: Fault | undefined;
-	readonly pieces: string[];
-	sent: number;
+	readonly tokenTexts: string[];
+	sentTokens: number;
 	isSilent: boolean;
 };
 
@@ -95,8 +95,8 @@
 	object: 'chat.completion',
 	created: 0,
 	model: stream.body.model,
-	choices: [{index: 0, message: {role: 'assistant', content: stream.pieces.join('')}, finish_reason: 'stop'}],
-	usage: {completion_tokens: stream.pieces.length},
+	choices: [{index: 0, message: {role: 'assistant', content: stream.tokenTexts.join('')}, finish_reason: 'stop'}],
+	usage: {completion_tokens: stream.tokenTexts.length},
 });
 
 /** Faults can be added for the operations `chat`, `load`, `cancel`, `events` and `orders`. */
@@ -109,8 +109,8 @@
 	const orders: Array<z.output<typeof ordersSchema>> = [];
 	let report = {...core.getLoad(), at: Date.now()};
 	const arrivals: Array<{marker: string; at: number}> = [];
-	let requests = 0;
-	let cancelled = 0;
+	let requestCount = 0;
+	let cancelledCount = 0;
 	let isRunning = false;
 	let isClosed = false;
 
@@ -127,7 +127,7 @@
 	/** Applies the fault of a stream if it is due. Returns whether the current token is suppressed by it. */
 	const applyFault = (stream: OpenStream): boolean => {
 		const {fault} = stream;
-		if (fault === undefined || stream.sent < (fault.afterChunks ?? 0)) {
+		if (fault === undefined || stream.sentTokens < (fault.afterChunks ?? 0)) {
 			return false;
 		}
 
@@ -169,11 +169,11 @@
 		}
 
 		const content = makeTokenText(stream.marker, token.index);
-		stream.sent++;
+		stream.sentTokens++;
 		if (stream.body.stream) {
 			stream.response.write(makeChunk(stream, {content}));
 		} else {
-			stream.pieces.push(content);
+			stream.tokenTexts.push(content);
 		}
 
 		if (token.isLast) {
@@ -220,13 +220,13 @@
 		const jobId = randomUUID();
 		const stream: OpenStream = {
 			jobId,
-			id, body, marker: getMarker(body.messages), response, fault, pieces: [], sent: 0, isSilent: false,
+			id, body, marker: getMarker(body.messages), response, fault, tokenTexts: [], sentTokens: 0, isSilent: false,
 		};
 		streams.set(jobId, stream);
 		response.once('close', () => {
 			if (streams.delete(jobId)) {
 				core.cancel(jobId);
-				cancelled++;
+				cancelledCount++;
 			}
 		});
 		if (body.stream) {
@@ -249,7 +249,7 @@
 	};
 
 	const handleChat = async (body: unknown, response: ServerResponse, requestId: string): Promise<void> => {
-		requests++;
+		requestCount++;
 		const parsed = chatSchema.safeParse(body);
 		if (!parsed.success || !(options.models ?? [parsed.data.model]).includes(parsed.data.model)) {
 			sendJson(response, {status: parsed.success ? 404 : 400, body: {error: {message: 'no such model or no chat request'}}});
@@ -354,8 +354,8 @@
 		faults,
 		counts: core.counts,
 		arrivals,
-		countRequests: () => requests,
-		countCancelled: () => cancelled,
+		countRequests: () => requestCount,
+		countCancelled: () => cancelledCount,
 		countRunning: () => streams.size,
 		orders,
 	};
--- a/packages/stand-ins/src/plain-service-stand-in.ts
+++ b/packages/stand-ins/src/plain-service-stand-in.ts
@@ -37,7 +37,7 @@
 	const faults = makeFaultTable();
 	const executions: Execution[] = [];
 	const highestFencing = new Map<string, number>();
-	let received = 0;
+	let receivedCalls = 0;
 
 	/** Records the fencing number and returns whether it is lower than an earlier one for the same key. */
 	const detectStaleFencing = (execution: Execution): boolean => {
@@ -51,7 +51,7 @@
 	};
 
 	const server = await startStandIn(async (request, response) => {
-		received++;
+		receivedCalls++;
 		const body = await readBody(request);
 		const fencing = getHeader(request.headers['x-fencing']);
 		const execution: Execution = {
@@ -114,6 +114,6 @@
 		...server,
 		faults,
 		executions,
-		countSeen: () => received,
+		countSeen: () => receivedCalls,
 	};
 };
--- a/packages/stand-ins/src/relay.ts
+++ b/packages/stand-ins/src/relay.ts
@@ -36,13 +36,13 @@
 	let mode: RelayMode = 'open';
 	let blocked = new Set<string>();
 	let delayMs = 0;
-	let bytes = 0;
+	let receivedBytes = 0;
 
 	const isSilenced = (socket: Socket): boolean => mode === 'silent' || silencedSockets.has(socket);
 
 	const forward = (from: Socket, to: Socket, isResponse: boolean): void => {
 		from.on('data', chunk => {
-			bytes += chunk.length;
+			receivedBytes += chunk.length;
 			if (isSilenced(from) || (isResponse && mode === 'one_way')) {
 				return;
 			}
@@ -105,12 +105,12 @@
 	return {
 		address,
 		url: `http://${address}`,
-		setTarget(next) {
-			target = next;
+		setTarget(newTarget) {
+			target = newTarget;
 		},
-		setMode(next) {
-			mode = next === 'forgetful' || next === 'reset' ? 'open' : next;
-			const applyEffect = effectsOnOpenSockets[next];
+		setMode(newMode) {
+			mode = newMode === 'forgetful' || newMode === 'reset' ? 'open' : newMode;
+			const applyEffect = effectsOnOpenSockets[newMode];
 			if (applyEffect !== undefined) {
 				for (const socket of sockets) {
 					applyEffect(socket);
@@ -128,7 +128,7 @@
 		setDelay(milliseconds) {
 			delayMs = milliseconds;
 		},
-		countBytes: () => bytes,
+		countBytes: () => receivedBytes,
 		async close() {
 			for (const socket of sockets) {
 				socket.destroy();
