--- a/scripts/measure/src/policies/customer.ts
+++ b/scripts/measure/src/policies/customer.ts
@@ -1,71 +1,83 @@
-/** One customer's load, engines and zones, as an experiment's file gives them. */
+/** Schema of a customer in an experiment file: the calls, the engines and the availability zones of a simulation. */
 import * as z from 'zod';
 
-const part = z.strictObject({
-	/** How many of them there are; calls share the first ones more often. */
+const promptPartSchema = z.strictObject({
+	/** Number of different prompt parts that a call chooses from. The first ones are chosen more often. */
 	things: z.int().positive(),
+	/** Tokens of each of these parts. */
 	tokens: z.number().positive(),
 });
 
-const kind = z.strictObject({
+const callKindSchema = z.strictObject({
 	name: z.string(),
 	perSecond: z.number().positive(),
-	/** 0 is the most urgent. */
+	/** Priority of the calls; 0 is the most urgent. */
 	rank: z.int().nonnegative(),
-	/** Prompt tokens that belong to one call, in the mean. */
+	/** Mean number of prompt tokens that a call shares with no other call. */
 	ownTokens: z.number().positive(),
-	/** How widely they are spread: the standard deviation of their logarithm. */
+	/** Standard deviation of the logarithm of that number. */
 	ownSpread: z.number().nonnegative(),
-	shared: z.array(part),
+	/** Parts at the start of a prompt that calls share, in their order. */
+	shared: z.array(promptPartSchema),
+	/** Mean number of tokens in a response. */
 	answerTokens: z.number().positive(),
-	/** Tokens of one event of the stream. */
+	/** Tokens in one event of the streamed response. */
 	eventTokens: z.int().positive(),
-	firstMs: z.number().positive().describe('Target of the first event, in ms'),
-	pauseMs: z.number().positive().describe('Longest pause between events, in ms'),
-	/** Whether a run that is lost may go on elsewhere. */
+	firstMs: z.number().positive().describe('Target for the time to the first event, in ms'),
+	pauseMs: z.number().positive().describe('Longest allowed pause between events, in ms'),
+	/** Whether a call that loses its engine during the response may continue on another engine. */
 	isResumable: z.boolean(),
 });
 
-const zone = z.strictObject({
+const zoneSchema = z.strictObject({
 	name: z.string(),
 	daemons: z.int().positive(),
-	/** Price of a second of an engine. */
+	/** Price of an on-demand engine per second. */
 	price: z.number().positive(),
 });
 
 export const customerSchema = z.strictObject({
 	name: z.string(),
-	kinds: z.array(kind).min(1),
-	zones: z.array(zone).min(1),
+	kinds: z.array(callKindSchema).min(1),
+	zones: z.array(zoneSchema).min(1),
 	engine: z.strictObject({
+		/** Fixed duration of a batch step. */
 		stepMs: z.number().positive(),
+		/** Additional step duration for each running call. */
 		sequenceMs: z.number().nonnegative(),
+		/** Prompt processing speed. */
 		tokensPerMs: z.number().positive(),
+		/** Maximum number of prompt tokens that one step processes. */
 		chunkTokens: z.int().positive(),
+		/** Calls that an engine runs concurrently. */
 		places: z.int().positive(),
 		cacheTokens: z.number().positive(),
-		/** Times a usual engine's work takes, dealt out in turn. */
+		/** Factors by which an engine's processing times are multiplied, assigned to the engines in turn. */
 		slowness: z.array(z.number().positive()).min(1),
 		bootMs: z.number().positive(),
+		/** Price of a reclaimable engine as a fraction of the on-demand price. */
 		reclaimablePrice: z.number().positive(),
+		/** Minimum number of engines in each availability zone. */
 		least: z.int().nonnegative(),
+		/** Maximum number of engines in each availability zone. */
 		most: z.int().positive(),
-		/** Engines at the full price that run at the start, in each zone. */
+		/** On-demand engines that run at the start in each availability zone. */
 		first: z.int().positive(),
 	}),
 	waves: z.strictObject({
-		/** Moments at which a zone's reclaimable engines get notice, in ms. */
+		/** Times at which all reclaimable engines of one zone get a termination notice, in ms since calls began to arrive. The waves affect the zones in turn. */
 		at: z.array(z.number().positive()),
 		noticeMs: z.number().positive(),
-		/** Time after a wave in which none are to be had. */
+		/** Time after a wave during which no zone can start reclaimable engines, in ms. */
 		dryMs: z.number().nonnegative(),
 	}),
-	/** Between two rounds of a daemon, in ms. */
+	/** Interval between two load reports of a daemon, in ms. */
 	gossipMs: z.number().positive(),
-	/** Calls that come together, in the mean. */
+	/** Mean number of calls that arrive at the same time. */
 	clump: z.number().min(1),
+	/** Time during which calls arrive, in ms. */
 	lengthMs: z.number().positive(),
 });
 
 export type Customer = z.output<typeof customerSchema>;
-export type Kind = Customer['kinds'][number];
+export type CallKind = Customer['kinds'][number];
--- a/scripts/measure/src/policies/play-in-threads.ts
+++ b/scripts/measure/src/policies/play-in-threads.ts
@@ -1,4 +1,4 @@
-/** Spreads plays over threads; each play is deterministic by itself, so their order does not matter. */
+/** Runs simulations in worker threads. Each simulation is deterministic, so the order in which they run does not change their results. */
 import {fileURLToPath} from 'node:url';
 import {parentPort, workerData} from 'node:worker_threads';
 import {runInWorkers} from '../run-in-workers.js';
@@ -8,14 +8,14 @@
 
 export type PlayJob = {
 	readonly customer: Customer;
-	/** Name of a set of policies. */
+	/** Name of a policy set. */
 	readonly policy: string;
 	readonly seed: number;
 };
 
 const jobKind = 'policies_play';
 
-/** Plays all jobs; gives their reports in the order of the jobs. */
+/** Runs all jobs and returns their reports in the order of the jobs. */
 export const playInThreads = async (jobs: readonly PlayJob[]): Promise<PlayReport[]> => runInWorkers({file: fileURLToPath(import.meta.url), kind: jobKind, jobs});
 
 const data = workerData as {readonly kind: string; readonly job: PlayJob} | undefined;
--- a/scripts/measure/src/policies/play-policies.ts
+++ b/scripts/measure/src/policies/play-policies.ts
@@ -1,149 +1,159 @@
-/** Plays a customer's load on several daemons and engines in virtual time, and says what callers got. */
+/** Simulates a customer's load on several daemons and engines in virtual time, and reports how many calls met their latency targets. */
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
 import {type DemandEstimate} from '@shallotpass/core/engines/estimate-demand.js';
 import {makeManualClock, type ManualClock} from '../routing/manual-clock.js';
 import {type Customer} from './customer.js';
-import {makeCalls, type PlayedCall} from './make-calls.js';
-import {openReportBoard} from './report-board.js';
+import {makeCalls, type SimulatedCall} from './make-calls.js';
+import {makeReportTotals} from './report-board.js';
 import {type Policies} from './policies.js';
 import {startVirtualDaemon, type VirtualDaemon} from './virtual-daemon.js';
-import {type RunEnd} from './virtual-engine.js';
+import {type RunResult} from './virtual-engine.js';
 import {startVirtualFleet, type VirtualFleet} from './virtual-fleet.js';
 
-/** The holder of the duties plans so often, in milliseconds. */
-const planEveryMs = 500;
+/** Interval at which the fleet is planned, in milliseconds. */
+const planIntervalMs = 500;
 
-/** Time before the first caller, in milliseconds: what is ordered then has started. */
-const leadMs = 6000;
+/** Time before the first call, in milliseconds. Engines that are ordered at the start begin to run in this time. */
+const warmUpMs = 6000;
 
-/** Time that answers are given after the last call, in milliseconds. */
-const tailMs = 10_000;
+/** Time after the last call in which running calls may complete, in milliseconds. */
+const completionMs = 10_000;
 
-/** A call that finds no engine tries again after this time, in milliseconds, until its first event would be so many times too late. */
-const retryMs = 100;
-const mostTimesLate = 5;
+/** Delay after which a call that finds no engine is retried, in milliseconds. */
+const retryDelayMs = 100;
 
+/** A call that finds no engine is lost after this multiple of its target for the first event. */
+const retryLimitFactor = 5;
+
+/** Length of the windows whose share of calls on time is compared, in milliseconds. */
 const windowMs = 2000;
 
-export type Fate = 'on_time' | 'late' | 'lost';
+export type CallOutcome = 'on_time' | 'late' | 'lost';
 
-export type PlayedAnswer = {
-	readonly call: PlayedCall;
-	readonly fate: Fate;
+export type CallResult = {
+	readonly call: SimulatedCall;
+	readonly outcome: CallOutcome;
 };
 
 export type PlayReport = {
 	readonly calls: number;
+	/** Shares of the calls by their outcome. */
 	readonly onTime: number;
 	readonly late: number;
 	readonly lost: number;
-	/** Share of the calls on time in the two worst windows of two seconds. */
+	/** Mean share of calls on time in the two worst windows of two seconds. */
 	readonly worstWindows: number;
-	/** Price of the engines, in seconds of one at the full price. */
+	/** Total price of the engines. An on-demand engine costs the price of its zone per second. */
 	readonly price: number;
+	/** Number of engines that were started. */
 	readonly engines: number;
-	/** Tokens read for each one sent. */
+	/** Prompt tokens that engines processed for each prompt token sent. The rest was cached. */
 	readonly readPart: number;
 };
 
-type Play = {
+type Simulation = {
 	readonly customer: Customer;
 	readonly policies: Policies;
 	readonly clock: ManualClock;
 	readonly fleet: VirtualFleet;
 	readonly daemons: readonly VirtualDaemon[];
 	readonly random: () => number;
-	readonly answers: PlayedAnswer[];
+	readonly results: CallResult[];
 };
 
-const judge = ({kind, at}: PlayedCall, {firstAt, longestPauseMs}: RunEnd): Fate =>
-	firstAt !== undefined && firstAt - at <= kind.firstMs && longestPauseMs <= kind.pauseMs ? 'on_time' : 'late';
-
-const serve = (play: Play, daemon: VirtualDaemon, call: PlayedCall, before: RunEnd | undefined): void => {
-	const {clock, answers} = play;
-	const sent = daemon.place(call, clock.now());
-	if (sent === undefined) {
-		if (clock.now() > call.at + (call.kind.firstMs * mostTimesLate)) {
-			answers.push({call, fate: 'lost'});
+/** Classifies a completed call by its latency targets. */
+const classifyOutcome = ({kind, at}: SimulatedCall, {firstEventAt, longestPauseMs}: RunResult): CallOutcome =>
+	firstEventAt !== undefined && firstEventAt - at <= kind.firstMs && longestPauseMs <= kind.pauseMs ? 'on_time' : 'late';
+
+/** Sends a call to an engine. Retries it when no engine is available or, if possible, when its engine is lost. */
+const serveCall = (simulation: Simulation, daemon: VirtualDaemon, call: SimulatedCall, previousRun: RunResult | undefined): void => {
+	const {clock, results} = simulation;
+	const placement = daemon.placeCall(call, clock.now());
+	if (placement === undefined) {
+		if (clock.now() > call.at + (call.kind.firstMs * retryLimitFactor)) {
+			results.push({call, outcome: 'lost'});
 			return;
 		}
 
-		clock.schedule(clock.now() + retryMs, () => {
-			serve(play, daemon, call, before);
+		clock.schedule(clock.now() + retryDelayMs, () => {
+			serveCall(simulation, daemon, call, previousRun);
 		});
 		return;
 	}
 
-	sent.engine.run(call, {
-		after: before?.tokens ?? 0,
-		onFirst() {
-			sent.noteFirst(clock.now());
+	placement.engine.run(call, {
+		after: previousRun?.tokens ?? 0,
+		onFirstEvent() {
+			placement.recordFirstEvent(clock.now());
 		},
 		onEnd(end) {
-			sent.noteEnd();
-			const merged: RunEnd = before?.firstAt === undefined ? end : {...end, firstAt: before.firstAt, longestPauseMs: Infinity};
+			placement.recordEnd();
+			// The pause of a response that was interrupted after its first event isn't measured, so the call counts as late.
+			const mergedRun: RunResult = previousRun?.firstEventAt === undefined ? end : {...end, firstEventAt: previousRun.firstEventAt, longestPauseMs: Infinity};
 			if (end.kind === 'complete') {
-				answers.push({call, fate: judge(call, merged)});
+				results.push({call, outcome: classifyOutcome(call, mergedRun)});
 				return;
 			}
 
-			if (call.kind.isResumable || merged.tokens === 0) {
-				serve(play, daemon, call, merged);
+			if (call.kind.isResumable || mergedRun.tokens === 0) {
+				serveCall(simulation, daemon, call, mergedRun);
 				return;
 			}
 
-			answers.push({call, fate: 'lost'});
+			results.push({call, outcome: 'lost'});
 		},
 	});
 };
 
-const startPlanning = ({customer, policies, clock, fleet, daemons}: Play): void => {
-	let need: DemandEstimate | undefined;
-	let planned = 0;
+/** Plans the fleet at a fixed interval, from the load that all daemons observe. */
+const startPlanning = ({customer, policies, clock, fleet, daemons}: Simulation): void => {
+	let estimate: DemandEstimate | undefined;
+	let plannedBackends = 0;
 	const {engine} = customer;
 	const bounds = {
 		least: engine.least, most: engine.most, bootMs: engine.bootMs, reclaimablePrice: engine.reclaimablePrice, zonePrices: Object.fromEntries(customer.zones.map(({name, price}) => [name, price])),
 	};
 	const plan = (): void => {
 		const now = clock.now();
-		need = policies.learnNeed(need, {
-			promptTokensPerSecond: daemons.reduce((sum, daemon) => sum + daemon.readWork(now), 0),
+		estimate = policies.updateEstimate(estimate, {
+			promptTokensPerSecond: daemons.reduce((sum, daemon) => sum + daemon.getWorkRate(now), 0),
 			running: daemons.reduce((sum, daemon) => sum + daemon.countRunning(), 0),
 			present: fleet.listReady().length,
-			tokensPerMs: daemons[0]!.getPace().tokensPerMs,
+			tokensPerMs: daemons[0]!.getLatencyModel().tokensPerMs,
 			places: engine.places,
 			bootMs: engine.bootMs,
 		}, now);
-		planned = policies.roundNeed(need.backends, planned);
-		fleet.order(policies.plan({
-			service: 'llm', bounds, zones: fleet.listZones(), needed: planned, assumed: Math.ceil(need.assumed), now,
+		plannedBackends = policies.roundEstimate(estimate.backends, plannedBackends);
+		fleet.applyOrders(policies.plan({
+			service: 'llm', bounds, zones: fleet.listZones(), needed: plannedBackends, assumed: Math.ceil(estimate.assumed), now,
 		}));
-		clock.schedule(now + planEveryMs, plan);
+		clock.schedule(now + planIntervalMs, plan);
 	};
 
 	plan();
 };
 
-const startTelling = ({customer, clock, daemons, random}: Play): void => {
+/** Lets each daemon report its load at the gossip interval, starting at a random offset. */
+const startReporting = ({customer, clock, daemons, random}: Simulation): void => {
 	for (const daemon of daemons) {
-		const tell = (): void => {
-			daemon.tell(clock.now());
-			clock.schedule(clock.now() + customer.gossipMs, tell);
+		const report = (): void => {
+			daemon.publishReport(clock.now());
+			clock.schedule(clock.now() + customer.gossipMs, report);
 		};
 
-		clock.schedule(random() * customer.gossipMs, tell);
+		clock.schedule(random() * customer.gossipMs, report);
 	}
 };
 
-/** Share on time in the two worst windows. */
-const findWorstWindows = (answers: readonly PlayedAnswer[]): number => {
+/** Computes the mean share of calls on time in the two worst windows. */
+const computeWorstWindowShare = (results: readonly CallResult[]): number => {
 	const windows = new Map<number, {calls: number; onTime: number}>();
-	for (const {call, fate} of answers) {
-		const key = Math.floor(call.at / windowMs);
-		const window = windows.get(key) ?? {calls: 0, onTime: 0};
+	for (const {call, outcome} of results) {
+		const windowIndex = Math.floor(call.at / windowMs);
+		const window = windows.get(windowIndex) ?? {calls: 0, onTime: 0};
 		window.calls++;
-		window.onTime += fate === 'on_time' ? 1 : 0;
-		windows.set(key, window);
+		window.onTime += outcome === 'on_time' ? 1 : 0;
+		windows.set(windowIndex, window);
 	}
 
 	const shares = [...windows.values()].map(({calls, onTime}) => onTime / calls).toSorted((left, right) => left - right);
@@ -151,51 +161,51 @@
 	return worst.reduce((sum, share) => sum + share, 0) / Math.max(1, worst.length);
 };
 
-const summarize = ({answers, fleet}: Play): PlayReport => {
-	const count = (fate: Fate): number => answers.filter(answer => answer.fate === fate).length;
-	const {read, sent} = fleet.sumTokens();
+const summarize = ({results, fleet}: Simulation): PlayReport => {
+	const count = (outcome: CallOutcome): number => results.filter(result => result.outcome === outcome).length;
+	const {computed, sent} = fleet.sumTokens();
 	return {
-		calls: answers.length,
-		onTime: count('on_time') / answers.length,
-		late: count('late') / answers.length,
-		lost: count('lost') / answers.length,
-		worstWindows: findWorstWindows(answers),
+		calls: results.length,
+		onTime: count('on_time') / results.length,
+		late: count('late') / results.length,
+		lost: count('lost') / results.length,
+		worstWindows: computeWorstWindowShare(results),
 		price: fleet.sumPrice(),
 		engines: fleet.countEngines(),
-		readPart: read / Math.max(1, sent),
+		readPart: computed / Math.max(1, sent),
 	};
 };
 
 export const playPolicies = (customer: Customer, policies: Policies, seed: number): PlayReport => {
 	const clock = makeManualClock();
-	const fleet = startVirtualFleet({...customer, waves: {...customer.waves, at: customer.waves.at.map(at => at + leadMs)}}, clock);
+	const fleet = startVirtualFleet({...customer, waves: {...customer.waves, at: customer.waves.at.map(at => at + warmUpMs)}}, clock);
 	const random = makeRandom(seed + 1_000_000);
 	const daemons: VirtualDaemon[] = [];
-	const board = openReportBoard();
+	const reportTotals = makeReportTotals();
 	for (const {name, daemons: count} of customer.zones) {
 		for (let index = 0; index < count; index++) {
 			daemons.push(startVirtualDaemon({
-				zone: name, policies, gossipMs: customer.gossipMs, places: customer.engine.places, listEngines: fleet.listReady, random, board,
+				zone: name, policies, gossipMs: customer.gossipMs, places: customer.engine.places, listEngines: fleet.listReady, random, reportTotals,
 			}));
 		}
 	}
 
-	const play: Play = {
-		customer, policies, clock, fleet, daemons, random, answers: [],
+	const simulation: Simulation = {
+		customer, policies, clock, fleet, daemons, random, results: [],
 	};
 	for (const call of makeCalls(customer, makeRandom(seed))) {
-		const arriving = {...call, at: call.at + leadMs};
-		clock.schedule(arriving.at, () => {
-			serve(play, daemons[Math.floor(random() * daemons.length)]!, arriving, undefined);
+		const arrivingCall = {...call, at: call.at + warmUpMs};
+		clock.schedule(arrivingCall.at, () => {
+			serveCall(simulation, daemons[Math.floor(random() * daemons.length)]!, arrivingCall, undefined);
 		});
 	}
 
-	startTelling(play);
-	startPlanning(play);
-	const endsAt = leadMs + customer.lengthMs + tailMs;
+	startReporting(simulation);
+	startPlanning(simulation);
+	const endsAt = warmUpMs + customer.lengthMs + completionMs;
 	while (clock.now() < endsAt && clock.advance()) {
-		// The clock plays.
+		// Each iteration runs the next scheduled event.
 	}
 
-	return summarize(play);
+	return summarize(simulation);
 };
--- a/scripts/measure/src/policies/policies.ts
+++ b/scripts/measure/src/policies/policies.ts
@@ -1,4 +1,4 @@
-/** What a play tries: each decision is a function, and a policy set replaces some of them by a plainer form. */
+/** Policy sets that simulations compare. Each decision is a function, and a policy set replaces some of them with simpler ones. */
 import {updateDemandEstimate, roundWithHysteresis} from '@shallotpass/core/engines/estimate-demand.js';
 import {planBackends} from '@shallotpass/core/engines/plan-backends.js';
 import {chooseBackend} from '@shallotpass/core/placement/choose-backend.js';
@@ -9,52 +9,65 @@
 
 export type Policies = {
 	readonly choose: typeof chooseBackend;
-	/** Whether a backend server counts as one of another zone. */
-	readonly isRemote: (ownZone: string, zone: string) => boolean;
-	readonly computeUnseen: typeof computeUnreportedMs;
-	/** Tokens a millisecond of an engine, by what this daemon and the others saw of it. */
-	readonly computeSpeed: (own: PrefillSample, others: PrefillSample, pace: LatencyModel) => number;
-	/** Whether prompts have homes. */
-	readonly hasHomes: boolean;
-	readonly learnNeed: typeof updateDemandEstimate;
-	readonly roundNeed: typeof roundWithHysteresis;
+	/** Whether a backend server is treated as one in another availability zone. */
+	readonly isInOtherZone: (ownZone: string, zone: string) => boolean;
+	/** Estimates the work at a backend server that other daemons have not reported yet. */
+	readonly computeUnreportedWorkMs: typeof computeUnreportedMs;
+	/** Estimates an engine's prompt processing speed in tokens per millisecond, from the samples of this daemon and of the others. */
+	readonly computeSpeed: (own: PrefillSample, others: PrefillSample, latencyModel: LatencyModel) => number;
+	/** Whether calls with the same prompt prefix have a preferred backend server. */
+	readonly hasPreferredBackends: boolean;
+	readonly updateEstimate: typeof updateDemandEstimate;
+	readonly roundEstimate: typeof roundWithHysteresis;
 	readonly plan: typeof planBackends;
 };
 
+/** The decisions as the daemon makes them. */
 export const ours: Policies = {
 	choose: chooseBackend,
-	isRemote: (ownZone, zone) => ownZone !== zone,
-	computeUnseen: computeUnreportedMs,
-	computeSpeed: (own, others, pace) => computeEngineSpeed([own, others], pace),
-	hasHomes: true,
-	learnNeed: updateDemandEstimate,
-	roundNeed: roundWithHysteresis,
+	isInOtherZone: (ownZone, zone) => ownZone !== zone,
+	computeUnreportedWorkMs: computeUnreportedMs,
+	computeSpeed: (own, others, latencyModel) => computeEngineSpeed([own, others], latencyModel),
+	hasPreferredBackends: true,
+	updateEstimate: updateDemandEstimate,
+	roundEstimate: roundWithHysteresis,
 	plan: planBackends,
 };
 
-/** Orders as many at the full price as are needed, spread over the zones, and no reclaimable ones. */
-const planAtFullPrice: typeof planBackends = input => planBackends({...input, bounds: {...input.bounds, reclaimablePrice: undefined}});
+/** Orders only on-demand backend servers, as many as are needed, spread over the zones. */
+const planOnDemandOnly: typeof planBackends = input => planBackends({...input, bounds: {...input.bounds, reclaimablePrice: undefined}});
 
-/** Takes each engine in turn that has room. */
+/** Chooses a random backend server below its connection limit. */
 const chooseAtRandom: typeof chooseBackend = (views, _call, random) => {
-	const open = [...views].filter(view => !view.isAtConnectionLimit);
-	const view = open[Math.floor(random() * open.length)];
+	const available = [...views].filter(view => !view.isAtConnectionLimit);
+	const view = available[Math.floor(random() * available.length)];
 	return view && {id: view.id, predictedMs: 0, cost: 0};
 };
 
-/** Keeps what was there at the start. */
-const assumeFixed: typeof updateDemandEstimate = (need, sample, now) => ({backends: need?.backends ?? sample.present, assumed: 0, at: now});
+/** Keeps the number of backend servers that ran at the start. */
+const keepInitialCount: typeof updateDemandEstimate = (previous, sample, now) => ({backends: previous?.backends ?? sample.present, assumed: 0, at: now});
 
+/** Policy sets by their names in experiment files. */
 export const policySets: Readonly<Record<string, Policies>> = {
 	ours,
-	'any-zone': {...ours, isRemote: () => false},
-	'no-spread': {...ours, computeUnseen: () => 0},
-	'own-speeds': {...ours, computeSpeed: (own, _others, pace) => computeEngineSpeed([own], pace)},
-	'one-speed': {...ours, computeSpeed: (_own, _others, pace) => pace.tokensPerMs},
+	// Treats all availability zones as the daemon's own.
+	'any-zone': {...ours, isInOtherZone: () => false},
+	// Ignores work that other daemons have not reported yet.
+	'no-spread': {...ours, computeUnreportedWorkMs: () => 0},
+	// Estimates an engine's speed from the daemon's own samples only.
+	'own-speeds': {...ours, computeSpeed: (own, _others, latencyModel) => computeEngineSpeed([own], latencyModel)},
+	// Assumes the mean speed of the service for every engine.
+	'one-speed': {...ours, computeSpeed: (_own, _others, latencyModel) => latencyModel.tokensPerMs},
+	// Assumes the default speed, without measurements.
 	'first-guess': {...ours, computeSpeed: () => defaultLatencyModel.tokensPerMs},
-	'no-homes': {...ours, hasHomes: false},
+	// Has no preferred backend servers for prompt prefixes.
+	'no-homes': {...ours, hasPreferredBackends: false},
+	// Sends each call to a random backend server.
 	'any-engine': {...ours, choose: chooseAtRandom},
+	// Starts on-demand backend servers for every reclaim wave that the plan covers.
 	'two-waves': {...ours, plan: input => planBackends(input, waves => waves)},
-	'full-price': {...ours, plan: planAtFullPrice},
-	'fixed-fleet': {...ours, learnNeed: assumeFixed, plan: planAtFullPrice},
+	// Orders only on-demand backend servers.
+	'full-price': {...ours, plan: planOnDemandOnly},
+	// Keeps the initial number of backend servers, all of them on-demand.
+	'fixed-fleet': {...ours, updateEstimate: keepInitialCount, plan: planOnDemandOnly},
 };
--- a/scripts/measure/src/policies/report-board.ts
+++ b/scripts/measure/src/policies/report-board.ts
@@ -1,57 +1,61 @@
-/** What the daemons of a play told, added up as it is told, so that a play of hundreds of daemons stays quick. */
+/** Totals of the load reports of all daemons. They are updated with each report, because summing up hundreds of reports for every call would be slow. */
 import {emptyPrefillSample, type PrefillSample} from '@shallotpass/core/placement/engine-latency.js';
 
-export const countedRanks = 3;
+/** Number of priority ranks that are counted separately. Lower priorities count as the last rank. */
+export const rankCount = 3;
 
-export type ToldLoad = {
+export type ReportedLoad = {
 	readonly running: number;
-	readonly pending: readonly number[];
-	readonly reading: PrefillSample;
+	/** Prompt tokens that engines have not processed yet, by rank. */
+	readonly pendingTokens: readonly number[];
+	readonly prefill: PrefillSample;
 };
 
-/** What a daemon told last. */
-export type Told = {
-	readonly loads: ReadonlyMap<string, ToldLoad>;
+/** Latest load report of a daemon. */
+export type DaemonReport = {
+	/** Load that the daemon has sent to each engine. */
+	readonly loads: ReadonlyMap<string, ReportedLoad>;
+	/** Prompt tokens per second that the daemon sends to engines. */
 	readonly tokensPerSecond: number;
 };
 
-export const nothingTold: Told = {loads: new Map(), tokensPerSecond: 0};
+export const emptyReport: DaemonReport = {loads: new Map(), tokensPerSecond: 0};
 
-const noLoad: ToldLoad = {running: 0, pending: Array.from<number>({length: countedRanks}).fill(0), reading: emptyPrefillSample};
+const emptyLoad: ReportedLoad = {running: 0, pendingTokens: Array.from<number>({length: rankCount}).fill(0), prefill: emptyPrefillSample};
 
-const addLoad = (left: ToldLoad, right: ToldLoad, sign: 1 | -1): ToldLoad => ({
+const addLoad = (left: ReportedLoad, right: ReportedLoad, sign: 1 | -1): ReportedLoad => ({
 	running: left.running + (sign * right.running),
-	pending: left.pending.map((tokens, rank) => tokens + (sign * right.pending[rank]!)),
-	reading: {tokens: left.reading.tokens + (sign * right.reading.tokens), ms: left.reading.ms + (sign * right.reading.ms)},
+	pendingTokens: left.pendingTokens.map((tokens, rank) => tokens + (sign * right.pendingTokens[rank]!)),
+	prefill: {tokens: left.prefill.tokens + (sign * right.prefill.tokens), ms: left.prefill.ms + (sign * right.prefill.ms)},
 });
 
-export type ReportBoard = {
-	/** Takes what a daemon tells now in the place of what it told before. */
-	readonly replace: (before: Told, told: Told) => void;
-	/** Load of an engine by all but the daemon that told this. */
-	readonly sumWithout: (engine: string, told: Told) => ToldLoad;
+export type ReportTotals = {
+	/** Replaces the previous report of a daemon with its current one. */
+	readonly replace: (previous: DaemonReport, current: DaemonReport) => void;
+	/** Returns the load of an engine without the part that the given report contains. */
+	readonly sumExcluding: (engine: string, report: DaemonReport) => ReportedLoad;
 	readonly getTokensPerSecond: () => number;
 };
 
-export const openReportBoard = (): ReportBoard => {
-	const loads = new Map<string, ToldLoad>();
+export const makeReportTotals = (): ReportTotals => {
+	const loads = new Map<string, ReportedLoad>();
 	let tokensPerSecond = 0;
-	const add = (told: Told, sign: 1 | -1): void => {
-		tokensPerSecond += sign * told.tokensPerSecond;
-		for (const [engine, load] of told.loads) {
-			loads.set(engine, addLoad(loads.get(engine) ?? noLoad, load, sign));
+	const addReport = (report: DaemonReport, sign: 1 | -1): void => {
+		tokensPerSecond += sign * report.tokensPerSecond;
+		for (const [engine, load] of report.loads) {
+			loads.set(engine, addLoad(loads.get(engine) ?? emptyLoad, load, sign));
 		}
 	};
 
 	return {
-		replace(before, told) {
-			add(before, -1);
-			add(told, 1);
+		replace(previous, current) {
+			addReport(previous, -1);
+			addReport(current, 1);
 		},
-		sumWithout(engine, told) {
-			const all = loads.get(engine) ?? noLoad;
-			const own = told.loads.get(engine);
-			return own === undefined ? all : addLoad(all, own, -1);
+		sumExcluding(engine, report) {
+			const total = loads.get(engine) ?? emptyLoad;
+			const own = report.loads.get(engine);
+			return own === undefined ? total : addLoad(total, own, -1);
 		},
 		getTokensPerSecond: () => tokensPerSecond,
 	};
--- a/scripts/measure/src/policies/virtual-daemon.ts
+++ b/scripts/measure/src/policies/virtual-daemon.ts
@@ -1,4 +1,4 @@
-/** A daemon of a play: what it believes of the engines, what it tells the others, and where it sends a call. */
+/** Simulated daemon: tracks the load of the engines, reports it to the other daemons and chooses an engine for each call. */
 import {
 	computeServiceSpeed, emptyPrefillRecord, defaultLatencyModel, updateFixedLatency, recordPrefill, type PrefillRecord, decayPrefillRecord, type LatencyModel, toPrefillSample,
 } from '@shallotpass/core/placement/engine-latency.js';
@@ -8,39 +8,43 @@
 import {type BackendView} from '@shallotpass/core/placement/types.js';
 import {hashText} from '@shallotpass/core/routing/rank-by-rendezvous.js';
 import {recordWork, computeWorkRate, type WorkRate} from '@shallotpass/core/engines/work-rate.js';
-import {type PlayedCall} from './make-calls.js';
+import {type SimulatedCall} from './make-calls.js';
 import {
-	countedRanks, type ReportBoard, nothingTold, type ToldLoad,
+	rankCount, type ReportTotals, emptyReport, type ReportedLoad,
 } from './report-board.js';
 import {type Policies} from './policies.js';
 import {type VirtualEngine} from './virtual-engine.js';
 
-/** What one daemon knows of one engine by itself. */
-type Belief = {
+/** What a daemon knows about an engine from the calls that it sent there. */
+type EngineState = {
 	readonly engine: VirtualEngine;
 	readonly incarnationHash: number;
 	running: number;
-	readonly pending: number[];
-	reading: PrefillRecord;
+	/** Prompt tokens that the engine has not processed yet, by rank. */
+	readonly pendingTokens: number[];
+	/** Measured prompt processing speed. */
+	prefill: PrefillRecord;
+	/** Prompt parts that were sent to the engine and may be cached there. */
 	readonly prefixes: KnownParts;
 };
 
 export type VirtualDaemon = {
 	readonly zone: string;
-	/** Renews what is told. */
-	readonly tell: (now: number) => void;
-	readonly readWork: (now: number) => number;
-	readonly getPace: () => LatencyModel;
+	/** Replaces this daemon's report with its current load. */
+	readonly publishReport: (now: number) => void;
+	/** Returns the prompt tokens per second that this daemon sends to engines. */
+	readonly getWorkRate: (now: number) => number;
+	readonly getLatencyModel: () => LatencyModel;
 	readonly countRunning: () => number;
-	/** The engine that the call goes to; undefined when there is none. */
-	readonly place: (call: PlayedCall, now: number) => Sent | undefined;
+	/** Chooses an engine for the call and counts the call there; undefined if no engine is available. */
+	readonly placeCall: (call: SimulatedCall, now: number) => SentCall | undefined;
 };
 
-/** A call that was sent; to be told what comes of it. */
-export type Sent = {
+/** A call that was sent to an engine. The caller of `placeCall` records its progress here. */
+export type SentCall = {
 	readonly engine: VirtualEngine;
-	readonly noteFirst: (now: number) => void;
-	readonly noteEnd: () => void;
+	readonly recordFirstEvent: (now: number) => void;
+	readonly recordEnd: () => void;
 };
 
 export type DaemonOptions = {
@@ -48,115 +52,117 @@
 	readonly policies: Policies;
 	readonly gossipMs: number;
 	readonly places: number;
-	/** Engines that the list of backend servers names now. */
+	/** Returns the engines that accept calls. */
 	readonly listEngines: () => readonly VirtualEngine[];
-	/** What all daemons told, this one's own part included. */
-	readonly board: ReportBoard;
+	/** Totals of all daemons' reports, including this daemon's own. */
+	readonly reportTotals: ReportTotals;
 	readonly random: () => number;
 };
 
 export const startVirtualDaemon = (options: DaemonOptions): VirtualDaemon => {
 	const {policies, zone} = options;
-	const beliefs = new Map<string, Belief>();
-	let told = nothingTold;
-	let pace = defaultLatencyModel;
-	let work: WorkRate | undefined;
+	const engineStates = new Map<string, EngineState>();
+	let ownReport = emptyReport;
+	let latencyModel = defaultLatencyModel;
+	let workRate: WorkRate | undefined;
 
-	const getBelief = (engine: VirtualEngine): Belief => {
-		const known = beliefs.get(engine.id);
-		if (known !== undefined) {
-			return known;
+	const getEngineState = (engine: VirtualEngine): EngineState => {
+		const existing = engineStates.get(engine.id);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		const belief: Belief = {
-			engine, incarnationHash: hashText(engine.id), running: 0, pending: Array.from<number>({length: countedRanks}).fill(0), reading: emptyPrefillRecord, prefixes: new Map(),
+		const state: EngineState = {
+			engine, incarnationHash: hashText(engine.id), running: 0, pendingTokens: Array.from<number>({length: rankCount}).fill(0), prefill: emptyPrefillRecord, prefixes: new Map(),
 		};
-		beliefs.set(engine.id, belief);
-		return belief;
+		engineStates.set(engine.id, state);
+		return state;
 	};
 
-	const sumOthers = (id: string): ToldLoad => options.board.sumWithout(id, told);
+	const getOthersLoad = (id: string): ReportedLoad => options.reportTotals.sumExcluding(id, ownReport);
 
-	const learnServiceSpeed = (now: number): void => {
-		const readings = options.listEngines().flatMap(engine => [decayPrefillRecord(getBelief(engine).reading, now), sumOthers(engine.id).reading]);
-		pace = {...pace, tokensPerMs: computeServiceSpeed(readings)};
+	/** Updates the mean speed of the service from the samples of all daemons. */
+	const updateServiceSpeed = (now: number): void => {
+		const records = options.listEngines().flatMap(engine => [decayPrefillRecord(getEngineState(engine).prefill, now), getOthersLoad(engine.id).prefill]);
+		latencyModel = {...latencyModel, tokensPerMs: computeServiceSpeed(records)};
 	};
 
-	const noteSent = (belief: Belief, call: PlayedCall, reading: {readonly tokens: number; readonly workTokens: number; readonly now: number}): Sent => {
-		const rank = Math.min(countedRanks - 1, call.kind.rank);
-		belief.running++;
-		belief.pending[rank]! += reading.tokens;
+	/** Counts a call at its engine. `tokens` are the call's prompt tokens that are not cached, `workTokens` also those queued before it. */
+	const recordSent = (engineState: EngineState, call: SimulatedCall, prompt: {readonly tokens: number; readonly workTokens: number; readonly now: number}): SentCall => {
+		const rank = Math.min(rankCount - 1, call.kind.rank);
+		engineState.running++;
+		engineState.pendingTokens[rank]! += prompt.tokens;
 		for (const part of call.promptParts) {
-			recordPart(belief.prefixes, part.id, reading.now);
+			recordPart(engineState.prefixes, part.id, prompt.now);
 		}
 
-		let isPending = true;
-		const endPending = (): void => {
-			belief.pending[rank]! -= isPending ? reading.tokens : 0;
-			isPending = false;
+		let hasPending = true;
+		const removePending = (): void => {
+			engineState.pendingTokens[rank]! -= hasPending ? prompt.tokens : 0;
+			hasPending = false;
 		};
 
 		return {
-			engine: belief.engine,
-			noteFirst(now) {
-				endPending();
-				const event = {workTokens: reading.workTokens, tookMs: now - reading.now};
-				const seen = toPrefillSample(event, pace);
-				pace = updateFixedLatency(pace, event);
-				if (seen !== undefined) {
-					belief.reading = recordPrefill(belief.reading, seen, now);
+			engine: engineState.engine,
+			recordFirstEvent(now) {
+				removePending();
+				const event = {workTokens: prompt.workTokens, tookMs: now - prompt.now};
+				const sample = toPrefillSample(event, latencyModel);
+				latencyModel = updateFixedLatency(latencyModel, event);
+				if (sample !== undefined) {
+					engineState.prefill = recordPrefill(engineState.prefill, sample, now);
 				}
 			},
-			noteEnd() {
-				endPending();
-				belief.running--;
+			recordEnd() {
+				removePending();
+				engineState.running--;
 			},
 		};
 	};
 
 	return {
 		zone,
-		tell(now) {
-			const before = told;
-			told = {
-				loads: new Map([...beliefs].map(([id, {running, pending, reading}]) => [id, {running, pending: [...pending], reading: decayPrefillRecord(reading, now)}])),
-				tokensPerSecond: work === undefined ? 0 : computeWorkRate(work, now),
+		publishReport(now) {
+			const previousReport = ownReport;
+			ownReport = {
+				loads: new Map([...engineStates].map(([id, {running, pendingTokens, prefill}]) => [id, {running, pendingTokens: [...pendingTokens], prefill: decayPrefillRecord(prefill, now)}])),
+				tokensPerSecond: workRate === undefined ? 0 : computeWorkRate(workRate, now),
 			};
-			options.board.replace(before, told);
-			learnServiceSpeed(now);
+			options.reportTotals.replace(previousReport, ownReport);
+			updateServiceSpeed(now);
 		},
-		readWork: now => work === undefined ? 0 : computeWorkRate(work, now),
-		getPace: () => pace,
-		countRunning: () => [...beliefs.values()].reduce((sum, {running}) => sum + running, 0),
-		place(call, now) {
+		getWorkRate: now => workRate === undefined ? 0 : computeWorkRate(workRate, now),
+		getLatencyModel: () => latencyModel,
+		countRunning: () => [...engineStates.values()].reduce((sum, {running}) => sum + running, 0),
+		placeCall(call, now) {
 			const engines = options.listEngines();
-			const known = engines.map(engine => getBelief(engine));
+			const states = engines.map(engine => getEngineState(engine));
 			const keyHash = getAffinityHash(call);
-			const home = policies.hasHomes ? findPreferredBackend(keyHash, known) : undefined;
-			const unseenMs = policies.computeUnseen({
-				tokensPerSecond: options.board.getTokensPerSecond() - told.tokensPerSecond,
+			const preferred = policies.hasPreferredBackends ? findPreferredBackend(keyHash, states) : undefined;
+			const unreportedMs = policies.computeUnreportedWorkMs({
+				tokensPerSecond: options.reportTotals.getTokensPerSecond() - ownReport.tokensPerSecond,
 				gossipDelayMs: options.gossipMs,
 				backends: engines.length,
-				tokensPerMs: pace.tokensPerMs,
+				tokensPerMs: latencyModel.tokensPerMs,
 			});
-			const others = new Map(known.map(({engine}) => [engine.id, sumOthers(engine.id)]));
-			const cached = new Map(known.map(belief => [belief.engine.id, countCachedTokens(call.promptParts, {wasSent: partId => belief.prefixes.has(partId), isPreferred: belief === home})]));
-			const views = known.map((belief): BackendView => {
-				const {engine} = belief;
-				const other = others.get(engine.id)!;
+			const othersLoads = new Map(states.map(({engine}) => [engine.id, getOthersLoad(engine.id)]));
+			const cachedById = new Map(states.map(state => [state.engine.id, countCachedTokens(call.promptParts, {wasSent: partId => state.prefixes.has(partId), isPreferred: state === preferred})]));
+			const views = states.map((state): BackendView => {
+				const {engine} = state;
+				const other = othersLoads.get(engine.id)!;
 				return {
 					id: engine.id,
-					isInOtherZone: policies.isRemote(zone, engine.zone),
+					isInOtherZone: policies.isInOtherZone(zone, engine.zone),
 					places: options.places,
 					isReclaimable: engine.isReclaimable,
-					latencyModel: {...pace, tokensPerMs: policies.computeSpeed(decayPrefillRecord(belief.reading, now), other.reading, pace)},
+					latencyModel: {...latencyModel, tokensPerMs: policies.computeSpeed(decayPrefillRecord(state.prefill, now), other.prefill, latencyModel)},
 					plainMs: 0,
-					own: {running: belief.running, pendingTokens: belief.pending},
-					others: {running: other.running, pendingTokens: other.pending},
+					own: {running: state.running, pendingTokens: state.pendingTokens},
+					others: {running: other.running, pendingTokens: other.pendingTokens},
 					failureRate: 0,
 					isAtConnectionLimit: false,
-					cachedTokens: cached.get(engine.id) ?? 0,
-					spreadPenaltyMs: unseenMs * computeOrderPosition(keyHash, belief.incarnationHash),
+					cachedTokens: cachedById.get(engine.id) ?? 0,
+					spreadPenaltyMs: unreportedMs * computeOrderPosition(keyHash, state.incarnationHash),
 					silentMs: 0,
 				};
 			});
@@ -167,12 +173,12 @@
 				return undefined;
 			}
 
-			const belief = beliefs.get(choice.id)!;
-			const tokens = Math.max(0, call.promptTokens - (cached.get(choice.id) ?? 0));
-			const {pending} = others.get(choice.id)!;
-			const workTokens = tokens + [...belief.pending, ...pending].reduce((sum, waiting) => sum + waiting, 0);
-			work = recordWork(work, tokens, now);
-			return noteSent(belief, call, {tokens, workTokens, now});
+			const chosen = engineStates.get(choice.id)!;
+			const tokens = Math.max(0, call.promptTokens - (cachedById.get(choice.id) ?? 0));
+			const {pendingTokens: othersPendingTokens} = othersLoads.get(choice.id)!;
+			const workTokens = tokens + [...chosen.pendingTokens, ...othersPendingTokens].reduce((sum, count) => sum + count, 0);
+			workRate = recordWork(workRate, tokens, now);
+			return recordSent(chosen, call, {tokens, workTokens, now});
 		},
 	};
 };
--- a/scripts/measure/src/policies/virtual-engine.ts
+++ b/scripts/measure/src/policies/virtual-engine.ts
@@ -1,14 +1,16 @@
-/** A model engine in virtual time: it runs its batch steps on the play's clock and tells what callers get. */
+/** Simulated model engine: runs its batch steps on a virtual clock and reports what callers receive. */
 import {type EngineCore, makeEngineCore} from '@shallotpass/stand-ins/engine-core.js';
 import {type ManualClock} from '../routing/manual-clock.js';
 import {type Customer} from './customer.js';
-import {type PlayedCall} from './make-calls.js';
+import {type SimulatedCall} from './make-calls.js';
 
-export type RunEnd = {
+/** Result of one run of a call on an engine. */
+export type RunResult = {
 	readonly kind: 'complete' | 'lost';
-	readonly firstAt: number | undefined;
+	/** Time of the first event; undefined if there was none. */
+	readonly firstEventAt: number | undefined;
 	readonly longestPauseMs: number;
-	/** Tokens that the caller has. */
+	/** Tokens that were produced, including those of earlier runs. */
 	readonly tokens: number;
 };
 
@@ -17,25 +19,26 @@
 	readonly zone: string;
 	readonly isReclaimable: boolean;
 	readonly core: EngineCore;
+	/** Whether the engine is about to end and accepts no new calls. */
 	isLeaving: boolean;
-	isGone: boolean;
-	readonly run: (call: PlayedCall, options: RunOptions) => void;
-	/** Ends at once; what runs is lost. */
+	hasEnded: boolean;
+	readonly run: (call: SimulatedCall, options: RunOptions) => void;
+	/** Ends the engine at once. Its running calls are lost. */
 	readonly end: () => void;
 };
 
 export type RunOptions = {
-	/** Tokens that the caller has already. */
+	/** Tokens that earlier runs produced. */
 	readonly after: number;
-	readonly onFirst: () => void;
-	readonly onEnd: (end: RunEnd) => void;
+	readonly onFirstEvent: () => void;
+	readonly onEnd: (end: RunResult) => void;
 };
 
 type Run = RunOptions & {
-	readonly call: PlayedCall;
+	readonly call: SimulatedCall;
 	tokens: number;
-	firstAt: number | undefined;
-	eventAt: number;
+	firstEventAt: number | undefined;
+	lastEventAt: number;
 	longestPauseMs: number;
 };
 
@@ -43,6 +46,7 @@
 	readonly id: string;
 	readonly zone: string;
 	readonly isReclaimable: boolean;
+	/** Factor by which the processing times are multiplied. */
 	readonly slowness: number;
 	readonly engine: Customer['engine'];
 	readonly clock: ManualClock;
@@ -62,31 +66,32 @@
 	const runs = new Map<string, Run>();
 	let isStepping = false;
 
-	const endRun = (run: Run, kind: RunEnd['kind']): void => {
+	const endRun = (run: Run, kind: RunResult['kind']): void => {
 		runs.delete(run.call.id);
 		run.onEnd({
-			kind, firstAt: run.firstAt, longestPauseMs: run.longestPauseMs, tokens: run.tokens,
+			kind, firstEventAt: run.firstEventAt, longestPauseMs: run.longestPauseMs, tokens: run.tokens,
 		});
 	};
 
-	const noteToken = (run: Run, isLast: boolean): void => {
+	/** Counts a token. Tokens reach the caller in events of `eventTokens` tokens. */
+	const recordToken = (run: Run, isLast: boolean): void => {
 		run.tokens++;
 		if (run.tokens % run.call.kind.eventTokens !== 0 && !isLast) {
 			return;
 		}
 
-		if (run.firstAt === undefined) {
-			run.firstAt = clock.now();
-			run.onFirst();
+		if (run.firstEventAt === undefined) {
+			run.firstEventAt = clock.now();
+			run.onFirstEvent();
 		} else {
-			run.longestPauseMs = Math.max(run.longestPauseMs, clock.now() - run.eventAt);
+			run.longestPauseMs = Math.max(run.longestPauseMs, clock.now() - run.lastEventAt);
 		}
 
-		run.eventAt = clock.now();
+		run.lastEventAt = clock.now();
 	};
 
 	const step = (): void => {
-		const result = self.isGone ? undefined : core.step();
+		const result = self.hasEnded ? undefined : core.step();
 		if (result === undefined) {
 			isStepping = false;
 			return;
@@ -99,7 +104,7 @@
 					continue;
 				}
 
-				noteToken(run, token.isLast);
+				recordToken(run, token.isLast);
 				if (token.isLast) {
 					endRun(run, 'complete');
 				}
@@ -115,13 +120,13 @@
 		isReclaimable,
 		core,
 		isLeaving: false,
-		isGone: false,
+		hasEnded: false,
 		run(call, options) {
 			runs.set(call.id, {
-				...options, call, tokens: options.after, firstAt: undefined, eventAt: clock.now(), longestPauseMs: 0,
+				...options, call, tokens: options.after, firstEventAt: undefined, lastEventAt: clock.now(), longestPauseMs: 0,
 			});
 			core.submit({
-				id: call.id, prompt: '', chain: call.chain, promptTokens: call.promptTokens, priority: call.kind.rank, maxTokens: call.answerTokens, resumeAfter: options.after - 1,
+				id: call.id, prompt: '', chain: call.blockHashes, promptTokens: call.promptTokens, priority: call.kind.rank, maxTokens: call.answerTokens, resumeAfter: options.after - 1,
 			});
 			if (!isStepping) {
 				isStepping = true;
@@ -129,7 +134,7 @@
 			}
 		},
 		end() {
-			self.isGone = true;
+			self.hasEnded = true;
 			for (const run of runs.values()) {
 				endRun(run, 'lost');
 			}
--- a/scripts/measure/src/policies/virtual-fleet.ts
+++ b/scripts/measure/src/policies/virtual-fleet.ts
@@ -1,30 +1,33 @@
-/** The engines of a play: what is ordered starts, waves take a zone's reclaimable ones, and each second is paid for. */
+/** Simulated engines of a customer: starts and ends them as ordered, reclaims those of a zone in each wave, and sums up their price. */
 import {type BackendOrder} from '@shallotpass/core/duties/lease.js';
 import {type ZoneFleet} from '@shallotpass/core/engines/plan-backends.js';
 import {type ManualClock} from '../routing/manual-clock.js';
 import {type Customer} from './customer.js';
 import {startVirtualEngine, type VirtualEngine} from './virtual-engine.js';
 
-/** A stopped engine still serves what it has for so long, in milliseconds. */
+/** Time in which an engine that is no longer ordered may complete its running calls, in milliseconds. */
 const drainMs = 4000;
 
-/** After a refusal a zone is asked again after this time, in milliseconds. */
-const refusalMs = 3500;
+/** Time for which a zone is reported as refusing reclaimable engines after a refusal, in milliseconds. */
+const refusalBackoffMs = 3500;
 
 export type VirtualFleet = {
-	/** Engines that take calls. */
+	/** Returns the engines that accept calls. */
 	readonly listReady: () => readonly VirtualEngine[];
 	readonly listZones: () => ZoneFleet[];
-	readonly order: (orders: readonly BackendOrder[]) => void;
-	/** Price of all engines until now, in prices of a second at the full price. */
+	/** Starts and ends engines to match the orders. After a wave, orders for more reclaimable engines are refused. */
+	readonly applyOrders: (orders: readonly BackendOrder[]) => void;
+	/** Returns the total price of all engines until now. */
 	readonly sumPrice: () => number;
+	/** Counts all engines that were ever started. */
 	readonly countEngines: () => number;
-	/** Tokens that engines read, and those that were sent to them. */
-	readonly sumTokens: () => {readonly read: number; readonly sent: number};
+	/** Returns the prompt tokens that engines processed, and those that were sent to them. */
+	readonly sumTokens: () => {readonly computed: number; readonly sent: number};
 };
 
-type Life = {
+type EngineRecord = {
 	readonly engine: VirtualEngine;
+	/** Price per second. */
 	readonly price: number;
 	readonly startedAt: number;
 	readyAt: number;
@@ -32,97 +35,97 @@
 };
 
 export const startVirtualFleet = (customer: Customer, clock: ManualClock): VirtualFleet => {
-	const {engine: traits, waves, zones} = customer;
-	const lives: Life[] = [];
-	const dryUntil = {at: 0};
+	const {engine: engineOptions, waves, zones} = customer;
+	const records: EngineRecord[] = [];
+	const unavailableUntil = {at: 0};
 	const refusedUntil = new Map<string, number>();
 
-	const start = (zone: string, isReclaimable: boolean, bootMs: number): void => {
-		const number = lives.length;
+	const startEngine = (zone: string, isReclaimable: boolean, bootMs: number): void => {
+		const engineIndex = records.length;
 		const engine = startVirtualEngine({
-			id: `engine-${number}`, zone, isReclaimable, slowness: traits.slowness[number % traits.slowness.length]!, engine: traits, clock,
+			id: `engine-${engineIndex}`, zone, isReclaimable, slowness: engineOptions.slowness[engineIndex % engineOptions.slowness.length]!, engine: engineOptions, clock,
 		});
 		const zonePrice = zones.find(({name}) => name === zone)?.price ?? 1;
-		lives.push({
-			engine, price: isReclaimable ? zonePrice * traits.reclaimablePrice : zonePrice, startedAt: clock.now(), readyAt: clock.now() + bootMs, endsAt: Infinity,
+		records.push({
+			engine, price: isReclaimable ? zonePrice * engineOptions.reclaimablePrice : zonePrice, startedAt: clock.now(), readyAt: clock.now() + bootMs, endsAt: Infinity,
 		});
 	};
 
-	const leave = (life: Life, noticeMs: number): void => {
-		life.engine.isLeaving = true;
+	const scheduleEnd = (record: EngineRecord, noticeMs: number): void => {
+		record.engine.isLeaving = true;
 		const endsAt = clock.now() + noticeMs;
-		life.endsAt = Math.min(life.endsAt, endsAt);
+		record.endsAt = Math.min(record.endsAt, endsAt);
 		clock.schedule(endsAt, () => {
-			life.engine.end();
+			record.engine.end();
 		});
 	};
 
-	const listStanding = (zone: string, isReclaimable: boolean): Life[] => lives
+	const listActive = (zone: string, isReclaimable: boolean): EngineRecord[] => records
 		.filter(({engine}) => engine.zone === zone && engine.isReclaimable === isReclaimable && !engine.isLeaving);
 
-	const isReady = ({readyAt}: Life): boolean => clock.now() >= readyAt;
+	const isReady = ({readyAt}: EngineRecord): boolean => clock.now() >= readyAt;
 
 	for (const {name} of zones) {
-		for (let index = 0; index < traits.first; index++) {
-			start(name, false, 0);
+		for (let index = 0; index < engineOptions.first; index++) {
+			startEngine(name, false, 0);
 		}
 	}
 
 	for (const [index, at] of waves.at.entries()) {
 		clock.schedule(at, () => {
-			dryUntil.at = clock.now() + waves.dryMs;
-			for (const life of listStanding(zones[index % zones.length]!.name, true)) {
-				leave(life, waves.noticeMs);
+			unavailableUntil.at = clock.now() + waves.dryMs;
+			for (const record of listActive(zones[index % zones.length]!.name, true)) {
+				scheduleEnd(record, waves.noticeMs);
 			}
 		});
 	}
 
-	const fill = ({availabilityZone, isReclaimable, count}: BackendOrder): void => {
-		const standing = listStanding(availabilityZone, isReclaimable);
-		const missing = count - standing.length;
-		if (missing > 0 && isReclaimable && clock.now() < dryUntil.at) {
-			refusedUntil.set(availabilityZone, clock.now() + refusalMs);
+	const applyOrder = ({availabilityZone, isReclaimable, count}: BackendOrder): void => {
+		const active = listActive(availabilityZone, isReclaimable);
+		const missingCount = count - active.length;
+		if (missingCount > 0 && isReclaimable && clock.now() < unavailableUntil.at) {
+			refusedUntil.set(availabilityZone, clock.now() + refusalBackoffMs);
 			return;
 		}
 
-		for (let left = missing; left > 0; left--) {
-			start(availabilityZone, isReclaimable, traits.bootMs);
+		for (let remaining = missingCount; remaining > 0; remaining--) {
+			startEngine(availabilityZone, isReclaimable, engineOptions.bootMs);
 		}
 
-		for (const life of standing.slice(count)) {
-			leave(life, drainMs);
+		for (const record of active.slice(count)) {
+			scheduleEnd(record, drainMs);
 		}
 	};
 
 	return {
-		listReady: () => lives.filter(life => !life.engine.isLeaving && isReady(life)).map(({engine}) => engine),
+		listReady: () => records.filter(record => !record.engine.isLeaving && isReady(record)).map(({engine}) => engine),
 		listZones: () => zones.map(({name}) => {
-			const reclaimable = listStanding(name, true);
-			const running = reclaimable.filter(life => isReady(life)).length;
+			const reclaimable = listActive(name, true);
+			const running = reclaimable.filter(record => isReady(record)).length;
 			return {
 				availabilityZone: name,
-				onDemand: listStanding(name, false).filter(life => isReady(life)).length,
+				onDemand: listActive(name, false).filter(record => isReady(record)).length,
 				reclaimable: running,
 				starting: reclaimable.length - running,
 				refusedUntil: refusedUntil.get(name) ?? 0,
 			};
 		}),
-		order(orders) {
+		applyOrders(orders) {
 			for (const order of orders) {
-				fill(order);
+				applyOrder(order);
 			}
 		},
-		sumPrice: () => lives.reduce((sum, {price, startedAt, endsAt}) => sum + (price * Math.max(0, Math.min(endsAt, clock.now()) - startedAt) / 1000), 0),
-		countEngines: () => lives.length,
+		sumPrice: () => records.reduce((sum, {price, startedAt, endsAt}) => sum + (price * Math.max(0, Math.min(endsAt, clock.now()) - startedAt) / 1000), 0),
+		countEngines: () => records.length,
 		sumTokens() {
-			let read = 0;
+			let computed = 0;
 			let sent = 0;
-			for (const {engine} of lives) {
-				read += engine.core.counts.recomputedTokens;
+			for (const {engine} of records) {
+				computed += engine.core.counts.recomputedTokens;
 				sent += engine.core.counts.promptTokens;
 			}
 
-			return {read, sent};
+			return {computed, sent};
 		},
 	};
 };
