--- a/scripts/measure/src/fleet/fleet-policies.ts
+++ b/scripts/measure/src/fleet/fleet-policies.ts
@@ -1,4 +1,4 @@
-/** Ways of sizing the fleet, by name; all but the last are baselines. */
+/** Fleet sizing policies by name. All but the last are baselines for comparison. */
 import {makeFleetPlanner} from '@shallotpass/core/fleet/plan-fleet.js';
 import {
 	makeOfferKey, type FleetPlan, type FleetView, type Offer, type FleetPlanner,
@@ -9,13 +9,13 @@
 export type FleetPolicy = {
 	readonly name: string;
 	readonly isBaseline: boolean;
-	/** How the demand is smoothed before it is foreseen; without, the plan sees it as it is. */
+	/** Options for smoothing the demand before it is forecast. Without them, the planner gets the measured demand. */
 	readonly smoothing: SmoothingOptions | undefined;
-	readonly make: (deployment: Deployment) => FleetPlanner;
+	readonly makePlanner: (deployment: Deployment) => FleetPlanner;
 };
 
-/** The engines of the deployment, always; what is missing is started again. */
-const makeFixed = (isReclaimable: boolean) => (deployment: Deployment): FleetPlanner => (view): FleetPlan => {
+/** Makes a planner that keeps the engines of the deployment running and replaces missing ones. */
+const makeFixedPlanner = (isReclaimable: boolean) => (deployment: Deployment): FleetPlanner => (view): FleetPlan => {
 	const missing = new Map<string, number>();
 	for (const {availabilityZone, machine} of listEngines(deployment)) {
 		const key = makeOfferKey({availabilityZone, machineClass: machine.name, isReclaimable});
@@ -33,43 +33,46 @@
 	return {starts, ends: []};
 };
 
-const growAbove = 0.7;
-const shrinkBelow = 0.4;
+/** An instance is started above this utilization of the places. */
+const scaleUpUtilization = 0.7;
 
-const getPlacePrice = ({creditsPerHour, places}: Offer): number => creditsPerHour / places;
+/** An instance is ended below this utilization of the places. */
+const scaleDownUtilization = 0.4;
 
-/** One more when the places in use pass a mark, one less below another: what clouds offer ready-made. */
-const scaleByUse = (view: FleetView): FleetPlan => {
-	const standing = [...view.instances.filter(instance => !instance.isLeaving), ...view.openOrders];
-	const places = standing.reduce((sum, item) => sum + (view.offers.find(offer => makeOfferKey(offer) === makeOfferKey(item))?.places ?? 0), 0);
-	const use = places === 0 ? 1 : view.demandPlaces / places;
+const computePlacePrice = ({creditsPerHour, places}: Offer): number => creditsPerHour / places;
+
+/** Starts or ends one instance at a time by utilization thresholds, as the autoscalers of cloud providers do. */
+const scaleByUtilization = (view: FleetView): FleetPlan => {
+	const current = [...view.instances.filter(instance => !instance.isLeaving), ...view.openOrders];
+	const places = current.reduce((sum, item) => sum + (view.offers.find(offer => makeOfferKey(offer) === makeOfferKey(item))?.places ?? 0), 0);
+	const utilization = places === 0 ? 1 : view.demandPlaces / places;
 	const refused = new Set(view.refusals.filter(refusal => refusal.until > view.now).map(refusal => refusal.offer));
 	const cheapest = view.offers
 		.filter(offer => offer.isReclaimable && !refused.has(makeOfferKey(offer)))
-		.toSorted((one, other) => getPlacePrice(one) - getPlacePrice(other))[0];
-	if (use > growAbove && view.openOrders.length === 0) {
+		.toSorted((one, other) => computePlacePrice(one) - computePlacePrice(other))[0];
+	if (utilization > scaleUpUtilization && view.openOrders.length === 0) {
 		return {starts: cheapest === undefined ? [] : [cheapest], ends: []};
 	}
 
-	const last = view.instances.toSorted((one, other) => other.startedAt - one.startedAt)[0];
-	return {starts: [], ends: use < shrinkBelow && view.instances.length > 1 && last !== undefined ? [last] : []};
+	const newest = view.instances.toSorted((one, other) => other.startedAt - one.startedAt)[0];
+	return {starts: [], ends: utilization < scaleDownUtilization && view.instances.length > 1 && newest !== undefined ? [newest] : []};
 };
 
 export const fleetPolicies: readonly FleetPolicy[] = [
 	{
-		name: 'fixed on demand', isBaseline: true, smoothing: undefined, make: makeFixed(false),
+		name: 'fixed on demand', isBaseline: true, smoothing: undefined, makePlanner: makeFixedPlanner(false),
 	},
 	{
-		name: 'fixed reclaimable', isBaseline: true, smoothing: undefined, make: makeFixed(true),
+		name: 'fixed reclaimable', isBaseline: true, smoothing: undefined, makePlanner: makeFixedPlanner(true),
 	},
 	{
-		name: 'by use', isBaseline: true, smoothing: undefined, make: () => scaleByUse,
+		name: 'by use', isBaseline: true, smoothing: undefined, makePlanner: () => scaleByUtilization,
 	},
 	{
 		name: 'planned',
 		isBaseline: false,
 		smoothing: {fallMs: 60_000, slopeMs: 4000},
-		make: () => makeFleetPlanner({
+		makePlanner: () => makeFleetPlanner({
 			headroom: 1.3, peakReserve: 6, minPlaces: 30, minRuntimeMs: 60_000,
 		}),
 	},
@@ -78,7 +81,7 @@
 export const findFleetPolicy = (name: string): FleetPolicy => {
 	const found = fleetPolicies.find(policy => policy.name === name);
 	if (found === undefined) {
-		throw new Error(`no fleet policy is named ${name}`);
+		throw new Error(`fleet policy "${name}" does not exist`);
 	}
 
 	return found;
--- a/scripts/measure/src/fleet/memory-cloud.ts
+++ b/scripts/measure/src/fleet/memory-cloud.ts
@@ -1,29 +1,35 @@
-/** The cloud in memory, for fleet duty on a clock that the caller moves: starts take time, kinds run out, replies get lost. */
+/** In-memory cloud API for the fleet duty, on a clock that the caller controls. Starts take time, and capacity shortages, outages and lost replies can be injected. */
 import {type CloudInstance, type CloudService} from '@shallotpass/common/cloud-service.js';
 import {makeOfferKey} from '@shallotpass/core/fleet/types.js';
 
 export type MemoryInstance = CloudInstance & {
-	/** When it serves. */
-	readonly servesAt: number;
+	/** Time from which the instance serves calls. */
+	readonly readyAt: number;
 	endedAt: number | undefined;
 };
 
+/** Faults of the API: all requests fail, or starts take effect but their replies are lost. */
 export type CloudFault = 'down' | 'lose_start_replies';
 
 export type MemoryCloud = CloudService & {
+	/** Faults that are active now. */
 	readonly faults: Set<CloudFault>;
-	/** Kinds of which there is none left now. */
+	/** Keys of the offers that have no capacity now. Starts of them are refused. */
 	readonly soldOut: Set<string>;
-	/** All that were ever started. */
+	/** All instances that were ever started. */
 	readonly instances: readonly MemoryInstance[];
 	readonly listRunning: () => MemoryInstance[];
-	readonly announce: (pick: (instance: MemoryInstance) => boolean) => MemoryInstance[];
+	/** Announces the end of the running instances that match, and returns them. */
+	readonly announce: (isAffected: (instance: MemoryInstance) => boolean) => MemoryInstance[];
+	/** Ends the instances at once. */
 	readonly takeAway: (instances: readonly MemoryInstance[]) => void;
+	/** Counts the start requests, including those that failed. */
 	readonly countStartCalls: () => number;
 };
 
 type MemoryCloudOptions = {
 	readonly now: () => number;
+	/** Time that an instance takes from its start until it serves calls. */
 	readonly startMs: number;
 };
 
@@ -34,9 +40,9 @@
 	let startCalls = 0;
 
 	const listRunning = (): MemoryInstance[] => instances.filter(instance => instance.endedAt === undefined);
-	const refuseWhenDown = (): void => {
+	const failWhenDown = (): void => {
 		if (faults.has('down')) {
-			throw new Error('the cloud does not answer');
+			throw new Error('the cloud API is unavailable');
 		}
 	};
 
@@ -45,54 +51,54 @@
 		soldOut,
 		instances,
 		listRunning,
-		announce(pick) {
-			const leaving = instances.filter(instance => instance.endedAt === undefined && pick(instance));
+		announce(isAffected) {
+			const leaving = instances.filter(instance => instance.endedAt === undefined && isAffected(instance));
 			for (const instance of leaving) {
 				instance.isLeaving = true;
 			}
 
 			return leaving;
 		},
-		takeAway(gone) {
-			for (const instance of gone) {
+		takeAway(terminated) {
+			for (const instance of terminated) {
 				instance.endedAt ??= now();
 			}
 		},
 		countStartCalls: () => startCalls,
 		async start({token, availabilityZone, machineClass, isReclaimable}) {
 			startCalls++;
-			refuseWhenDown();
+			failWhenDown();
 			const offer = {availabilityZone, machineClass, isReclaimable};
-			const known = instances.find(instance => instance.token === token);
-			if (known?.endedAt !== undefined) {
+			const existing = instances.find(instance => instance.token === token);
+			if (existing?.endedAt !== undefined) {
 				return 'ended';
 			}
 
-			if (known === undefined) {
+			if (existing === undefined) {
 				if (soldOut.has(makeOfferKey(offer))) {
 					return 'refused';
 				}
 
 				instances.push({
-					...offer, id: `started-${instances.length + 1}`, token, startedAt: now(), servesAt: now() + startMs, endedAt: undefined, isLeaving: false,
+					...offer, id: `started-${instances.length + 1}`, token, startedAt: now(), readyAt: now() + startMs, endedAt: undefined, isLeaving: false,
 				});
 			}
 
 			if (faults.has('lose_start_replies')) {
-				throw new Error('the reply was lost');
+				throw new Error('the reply to the start request was lost');
 			}
 
 			return 'started';
 		},
 		async end(id) {
-			refuseWhenDown();
+			failWhenDown();
 			const instance = instances.find(candidate => candidate.id === id);
 			if (instance !== undefined) {
 				instance.endedAt ??= now();
 			}
 		},
 		async list() {
-			refuseWhenDown();
+			failWhenDown();
 			return listRunning();
 		},
 	};
--- a/scripts/measure/src/fleet/run-day.ts
+++ b/scripts/measure/src/fleet/run-day.ts
@@ -1,7 +1,8 @@
 /**
- * A day of demand before a fleet that the real duty sizes: three holders on one log in memory,
- * the cloud in memory, the daemons' real gates and registries, engines on a controlled clock.
- * An hour of the day passes in a minute, and what takes time at the cloud takes a sixtieth of it.
+ * Simulates a day of demand for a fleet that is sized by the daemon's fleet duty. Each availability zone has its own
+ * duty on a shared in-memory log. The cloud is in memory, the daemons use the real admission gates and backend registries,
+ * and the engines run on a virtual clock. An hour of the day is simulated as one minute, and durations at the cloud
+ * are a sixtieth of the real ones.
  */
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import {type Deadline} from '@shallotpass/common/types.js';
@@ -32,65 +33,83 @@
 	readonly deployment: Deployment;
 	readonly policy: string;
 	readonly seed: number;
-	/** Load at the peak; 1 is what the deployment's own engines carry. */
+	/** Load at the peak, relative to the capacity of the deployment's own engines. */
 	readonly peakLoad: number;
-	/** Part of the peak at each full hour. */
+	/** Load at each full hour, as a fraction of the peak. */
 	readonly shape: readonly number[];
-	/** Hours at which a zone's reclaimable instances are taken at once and refused for a while. */
+	/** Hours at which all reclaimable instances of one zone are reclaimed and new ones refused for some time. The waves affect the zones in turn. */
 	readonly waves: readonly number[];
 };
 
 export type DaySummary = {
 	readonly policy: string;
+	/** Credits spent for each thousand requests within their latency target. */
 	readonly creditsPerThousand: number;
 	readonly credits: number;
 	readonly withinTarget: number;
 	readonly classes: ReadonlyArray<{readonly class: string; readonly withinTarget: number}>;
 	readonly asked: number;
 	readonly refused: number;
+	/** Requests without a response when the simulation ended. */
 	readonly unanswered: number;
 	readonly instances: number;
-	/** Paid for, and never sent a request. */
+	/** Instances that were paid for but received no request. */
 	readonly neverUsed: number;
 	readonly startCalls: number;
 };
 
+/** Simulated duration of an hour of the day. */
 const hourMs = 60_000;
-const startMs = 4000;
+
+/** Time that an instance takes from its start until it serves calls. */
+const instanceStartMs = 4000;
+
+/** Interval between two rounds of a fleet duty. */
 const roundMs = 500;
-const reportMs = 500;
+
+/** Interval between two load reports of an engine. */
+const reportIntervalMs = 500;
+
+/** Time between the notice of a reclaim and the end of the instances. */
 const noticeMs = 2000;
-const refusedForMs = 30_000;
-const onDemandFactor = 3;
 
-/** Room at the end for what is still running. */
-const tailMs = 90_000;
+/** Time for which a zone refuses to start reclaimable instances after a reclaim. */
+const startRefusalMs = 30_000;
+
+/** Price of an on-demand instance relative to a reclaimable one. */
+const onDemandPriceFactor = 3;
+
+/** Time at the end in which running requests may complete. */
+const completionMs = 90_000;
 
-type Day = {
+type DaySimulation = {
 	readonly plan: DayPlan;
 	readonly clock: ManualClock;
 	readonly cloud: MemoryCloud;
 	readonly engines: Map<string, HostedEngine>;
 	readonly daemons: readonly EntryDaemon[];
-	readonly listed: Map<string, ListedInstance>;
-	readonly used: Set<string>;
+	/** Instances in the list that the daemons get, by their id. */
+	readonly listedInstances: Map<string, ListedInstance>;
+	/** Ids of the instances that received a request. */
+	readonly usedInstances: Set<string>;
 	listVersion: number;
 	isOver: boolean;
 };
 
-const getShape = (shape: readonly number[], at: number): number => {
+/** Returns the load at a time as a fraction of the peak, interpolated between the full hours. */
+const interpolateShape = (shape: readonly number[], at: number): number => {
 	const hour = at / hourMs;
 	const before = shape[Math.floor(hour) % shape.length]!;
 	const after = shape[(Math.floor(hour) + 1) % shape.length]!;
 	return before + ((after - before) * (hour % 1));
 };
 
-/** The peak's requests, thinned to the shape of the day. */
+/** Generates requests at the peak load and drops some at random to match the shape of the day. */
 const makeDayRequests = ({deployment, peakLoad, seed, shape}: DayPlan): ChatArrival[] => {
 	const random = makeRandom(seed + 5);
 	return makeRequests({
 		deployment, load: peakLoad, untilMs: shape.length * hourMs, seed,
-	}).filter((arrival): arrival is ChatArrival => arrival.kind === 'chat' && random() < getShape(shape, arrival.at));
+	}).filter((arrival): arrival is ChatArrival => arrival.kind === 'chat' && random() < interpolateShape(shape, arrival.at));
 };
 
 const listZones = (deployment: Deployment): string[] => [...new Set(deployment.engine.map(group => group.availabilityZone))];
@@ -99,51 +118,52 @@
 	availabilityZone,
 	machineClass: machine.name,
 	isReclaimable,
-	creditsPerHour: machine.price * (isReclaimable ? 1 : onDemandFactor),
+	creditsPerHour: machine.price * (isReclaimable ? 1 : onDemandPriceFactor),
 	places: computePlaces(deployment, machine),
 }))));
 
-const publish = (day: Day): void => {
+/** Sends the current instance list to all daemons. */
+const publishInstanceList = (day: DaySimulation): void => {
 	day.listVersion++;
 	for (const {registry} of day.daemons) {
-		registry.applyInstanceList({version: day.listVersion, instances: [...day.listed.values()]});
+		registry.applyInstanceList({version: day.listVersion, instances: [...day.listedInstances.values()]});
 	}
 };
 
-/** Brings the engines and the list in line with what runs at the cloud. */
-const followCloud = (day: Day): void => {
+/** Updates the engines and the instance list to the instances that run at the cloud. */
+const syncInstances = (day: DaySimulation): void => {
 	const running = new Map(day.cloud.listRunning().map(instance => [instance.id, instance]));
 	let hasChanged = false;
 	for (const [id, engine] of day.engines) {
-		if (!running.has(id) && day.listed.delete(id)) {
+		if (!running.has(id) && day.listedInstances.delete(id)) {
 			engine.takeAway();
 			hasChanged = true;
 		}
 	}
 
 	for (const instance of running.values()) {
-		if (!day.engines.has(instance.id) && instance.servesAt <= day.clock.now()) {
+		if (!day.engines.has(instance.id) && instance.readyAt <= day.clock.now()) {
 			addEngine(day, instance);
 			hasChanged = true;
 		}
 	}
 
 	if (hasChanged) {
-		publish(day);
+		publishInstanceList(day);
 	}
 };
 
-const addEngine = ({plan, engines, listed, clock}: Day, {id, availabilityZone, machineClass}: MemoryInstance): void => {
+const addEngine = ({plan, engines, listedInstances, clock}: DaySimulation, {id, availabilityZone, machineClass}: MemoryInstance): void => {
 	const machine = plan.deployment.machine.find(item => item.name === machineClass)!;
 	engines.set(id, makeHostedEngine({id, availabilityZone, machine}, clock));
-	listed.set(id, {
+	listedInstances.set(id, {
 		id, address: id, role: 'backend', availabilityZone, machineClass, state: 'live', services: [chatService],
 	});
 };
 
-const reportLoads = ({daemons, engines, listed}: Day): void => {
+const reportLoads = ({daemons, engines, listedInstances}: DaySimulation): void => {
 	for (const {id, getReport} of engines.values()) {
-		if (listed.has(id)) {
+		if (listedInstances.has(id)) {
 			for (const {registry} of daemons) {
 				registry.applyLoadReport(id, getReport());
 			}
@@ -151,23 +171,25 @@
 	}
 };
 
-const repeat = (day: Day, everyMs: number, act: () => void): void => {
-	act();
+/** Runs a function immediately and then at a fixed interval until the day is over. */
+const scheduleEvery = (day: DaySimulation, intervalMs: number, run: () => void): void => {
+	run();
 	if (!day.isOver) {
-		day.clock.schedule(day.clock.now() + everyMs, () => {
-			repeat(day, everyMs, act);
+		day.clock.schedule(day.clock.now() + intervalMs, () => {
+			scheduleEvery(day, intervalMs, run);
 		});
 	}
 };
 
-const announceEnd = ({daemons}: Day, id: string, leavesAt: number): void => {
+/** Informs all daemons that an instance is about to end. */
+const announceEnd = ({daemons}: DaySimulation, id: string, leavesAt: number): void => {
 	for (const {registry} of daemons) {
 		registry.applyLeavingNotice(id, leavesAt);
 	}
 };
 
-/** A zone's reclaimable instances go at once, on notice, and no new ones are to be had for a while. */
-const strikeZone = (day: Day, availabilityZone: string): void => {
+/** Reclaims all reclaimable instances of a zone after the notice. New ones are refused from the notice on until some time after the reclaim. */
+const reclaimZone = (day: DaySimulation, availabilityZone: string): void => {
 	const {cloud, clock} = day;
 	const leavesAt = clock.now() + noticeMs;
 	const leaving = cloud.announce(instance => instance.availabilityZone === availabilityZone && instance.isReclaimable);
@@ -182,34 +204,34 @@
 
 	clock.schedule(leavesAt, () => {
 		cloud.takeAway(leaving);
-		followCloud(day);
+		syncInstances(day);
 	});
-	clock.schedule(leavesAt + refusedForMs, () => {
+	clock.schedule(leavesAt + startRefusalMs, () => {
 		for (const offer of offers) {
 			cloud.soldOut.delete(offer);
 		}
 	});
 };
 
-/** What runs or waits anywhere; the daemons add up their engines' reports and their own lines to the same. */
-const makeObserve = (day: Day, countOpen: () => number): (() => FleetDemand) => {
+/** Measures the demand as the number of running and waiting requests. Real daemons get the same number from the load reports of their engines and their own queues. */
+const makeDemandMeasurement = (day: DaySimulation, countOpenRequests: () => number): (() => FleetDemand) => {
 	const offers = listOffers(day.plan.deployment);
 	const {smoothing} = findFleetPolicy(day.plan.policy);
 	let smoothed: SmoothedDemand | undefined;
 	return () => {
-		const used = countOpen();
+		const openRequests = countOpenRequests();
 		if (smoothing === undefined) {
-			return {offers, fixedPlaces: 0, demandPlaces: used};
+			return {offers, fixedPlaces: 0, demandPlaces: openRequests};
 		}
 
-		smoothed = smoothDemand(smoothed, used, day.clock.now(), smoothing);
-		return {offers, fixedPlaces: 0, demandPlaces: forecastDemand(smoothed, startMs)};
+		smoothed = smoothDemand(smoothed, openRequests, day.clock.now(), smoothing);
+		return {offers, fixedPlaces: 0, demandPlaces: forecastDemand(smoothed, instanceStartMs)};
 	};
 };
 
-const makeDuties = (day: Day, countOpen: () => number, random: () => number): FleetDuty[] => {
+const makeDuties = (day: DaySimulation, countOpenRequests: () => number, random: () => number): FleetDuty[] => {
 	const log = makeMemoryLog(day.clock);
-	const plan = findFleetPolicy(day.plan.policy).make(day.plan.deployment);
+	const plan = findFleetPolicy(day.plan.policy).makePlanner(day.plan.deployment);
 	return listZones(day.plan.deployment).map((availabilityZone, index) => makeFleetDuty({
 		environment: {
 			settings: makeSettings({id: `entry-${index}`, availabilityZone, platform: undefined}),
@@ -224,7 +246,7 @@
 		plan,
 		availabilityZone,
 		holder: `entry-${index}`,
-		measureDemand: makeObserve(day, countOpen),
+		measureDemand: makeDemandMeasurement(day, countOpenRequests),
 		announceEnd(id: string, leavesAt: Deadline) {
 			announceEnd(day, id, leavesAt);
 		},
@@ -234,12 +256,12 @@
 	}));
 };
 
-const makeDay = (plan: DayPlan): Day => {
+const makeDaySimulation = (plan: DayPlan): DaySimulation => {
 	const clock = makeManualClock();
 	const random = makeRandom(plan.seed + 1);
 	const engines = new Map<string, HostedEngine>();
 	const daemons: EntryDaemon[] = [];
-	const used = new Set<string>();
+	const usedInstances = new Set<string>();
 	for (let index = 0; index < plan.deployment.daemons; index++) {
 		daemons.push(makeEntryDaemon({
 			index,
@@ -248,19 +270,20 @@
 			random,
 			policy: chooseLowestCost,
 			findEngine(id) {
-				used.add(id);
+				usedInstances.add(id);
 				return engines.get(id)!;
 			},
-			async runPlain() {/* the day has no plain calls */},
+			async runPlain() {/* no plain calls are simulated */},
 		}));
 	}
 
 	return {
-		plan, clock, cloud: makeMemoryCloud({now: clock.now, startMs}), engines, daemons, listed: new Map(), used, listVersion: 0, isOver: false,
+		plan, clock, cloud: makeMemoryCloud({now: clock.now, startMs: instanceStartMs}), engines, daemons, listedInstances: new Map(), usedInstances, listVersion: 0, isOver: false,
 	};
 };
 
-const countCredits = ({plan, cloud, clock}: Day): number => {
+/** Computes the credits spent on all instances until now. */
+const computeCredits = ({plan, cloud, clock}: DaySimulation): number => {
 	const offers = listOffers(plan.deployment);
 	let credits = 0;
 	for (const instance of cloud.instances) {
@@ -271,54 +294,54 @@
 	return credits;
 };
 
-const summarize = (day: Day, results: readonly ChatResult[], unanswered: number, credits: number): DaySummary => {
-	const {plan, cloud, used} = day;
-	const countWithin = (list: readonly ChatResult[]): number => list.filter(result => isWithin(result, plan.deployment.class.find(item => item.name === result.arrival.class)!)).length;
-	const within = countWithin(results);
+const summarize = (day: DaySimulation, results: readonly ChatResult[], unanswered: number, credits: number): DaySummary => {
+	const {plan, cloud, usedInstances} = day;
+	const countWithinTarget = (list: readonly ChatResult[]): number => list.filter(result => isWithin(result, plan.deployment.class.find(item => item.name === result.arrival.class)!)).length;
+	const withinCount = countWithinTarget(results);
 	return {
 		policy: plan.policy,
-		creditsPerThousand: round(credits / Math.max(1, within) * 1000, 3),
+		creditsPerThousand: round(credits / Math.max(1, withinCount) * 1000, 3),
 		credits: round(credits, 2),
-		withinTarget: round(within / Math.max(1, results.length), 4),
+		withinTarget: round(withinCount / Math.max(1, results.length), 4),
 		classes: plan.deployment.class.map(({name}) => {
-			const own = results.filter(result => result.arrival.class === name);
-			return {class: name, withinTarget: round(countWithin(own) / Math.max(1, own.length), 4)};
+			const classResults = results.filter(result => result.arrival.class === name);
+			return {class: name, withinTarget: round(countWithinTarget(classResults) / Math.max(1, classResults.length), 4)};
 		}),
 		asked: results.length + unanswered,
 		refused: results.filter(result => result.refusedAs !== undefined).length,
 		unanswered,
 		instances: cloud.instances.length,
-		neverUsed: cloud.instances.filter(instance => !used.has(instance.id)).length,
+		neverUsed: cloud.instances.filter(instance => !usedInstances.has(instance.id)).length,
 		startCalls: cloud.countStartCalls(),
 	};
 };
 
 export const runDay = async (plan: DayPlan): Promise<DaySummary> => {
-	const day = makeDay(plan);
+	const day = makeDaySimulation(plan);
 	const {clock, daemons} = day;
 	const untilMs = plan.shape.length * hourMs;
 	const results: ChatResult[] = [];
-	let open = 0;
-	const duties = makeDuties(day, () => open, makeRandom(plan.seed + 3));
-	repeat(day, reportMs, () => {
-		followCloud(day);
+	let openRequests = 0;
+	const duties = makeDuties(day, () => openRequests, makeRandom(plan.seed + 3));
+	scheduleEvery(day, reportIntervalMs, () => {
+		syncInstances(day);
 		reportLoads(day);
 	});
 	for (const [index, duty] of duties.entries()) {
 		clock.schedule(index * (roundMs / duties.length), () => {
-			repeat(day, roundMs, () => {
+			scheduleEvery(day, roundMs, () => {
 				void duty.runRound();
 			});
 		});
 	}
 
 	const serve = async (arrival: ChatArrival, daemon: EntryDaemon): Promise<void> => {
-		open++;
+		openRequests++;
 		results.push(await daemon.serve(arrival));
-		open--;
+		openRequests--;
 	};
 
-	// The first hour's instances start before its first question.
+	// Requests begin after one hour, so that the instances for the first hour of the day are running by then.
 	for (const [index, arrival] of makeDayRequests(plan).entries()) {
 		clock.schedule(arrival.at + hourMs, () => {
 			void serve({...arrival, at: arrival.at + hourMs}, daemons[index % daemons.length]!);
@@ -328,19 +351,19 @@
 	for (const [index, hour] of plan.waves.entries()) {
 		const zones = listZones(plan.deployment);
 		clock.schedule((hour + 1) * hourMs, () => {
-			strikeZone(day, zones[index % zones.length]!);
+			reclaimZone(day, zones[index % zones.length]!);
 		});
 	}
 
 	let credits = 0;
 	clock.schedule(untilMs + hourMs, () => {
-		credits = countCredits(day);
+		credits = computeCredits(day);
 	});
-	const isDone = (): boolean => clock.now() >= untilMs + hourMs + (open > 0 ? tailMs : 0);
+	const isDone = (): boolean => clock.now() >= untilMs + hourMs + (openRequests > 0 ? completionMs : 0);
 	while (!isDone() && clock.advance()) {
-		await nextTurn(); // eslint-disable-line no-await-in-loop -- whoever waited for this moment goes on before the next
+		await nextTurn(); // eslint-disable-line no-await-in-loop -- code that awaits this moment runs before the clock advances
 	}
 
 	day.isOver = true;
-	return summarize(day, results, open, credits);
+	return summarize(day, results, openRequests, credits);
 };
