--- a/scripts/measure/src/slopes/core-slopes.ts
+++ b/scripts/measure/src/slopes/core-slopes.ts
@@ -1,4 +1,4 @@
-/** Slopes of the decisions: no sockets, no waiting. */
+/** Measures how the time, memory and traffic of core functions grow with their input, without sockets or waiting. */
 import process from 'node:process';
 import {configurationSchema} from '@shallotpass/common/configuration-schema.js';
 import {type Claim} from '@shallotpass/common/log-records.js';
@@ -49,19 +49,20 @@
 	price: 0.3,
 }));
 
-const chainBlocks = 32;
+/** Blocks in each known prompt prefix. */
+const blocksPerPrefix = 32;
 
-/** One routing decision with so many engines, and the prefixes that a daemon knows. */
+/** Measures a routing decision by the number of engines and of the prefixes that the daemon knows, in microseconds. */
 const measureRouting = (engines: number, prefixes: number): number => {
 	const backends = makeBackends(engines);
 	const byId = new Map(backends.map(backend => [backend.id, backend]));
 	const random = makeRandom(1);
-	const known = makeKnownPrefixes(20_000);
+	const knownPrefixes = makeKnownPrefixes(20_000);
 	const chains = Array.from({length: prefixes}, (_value, prefix) =>
-		Array.from({length: chainBlocks}, (_block, block) => BigInt((prefix * 1000) + block + 1)));
+		Array.from({length: blocksPerPrefix}, (_block, block) => BigInt((prefix * 1000) + block + 1)));
 	for (const [index, chain] of chains.entries()) {
-		recordPrefix(known, `engine-${index % engines}`, chain);
-		recordPrefix(known, `engine-${(index * 7) % engines}`, chain.slice(0, 8));
+		recordPrefix(knownPrefixes, `engine-${index % engines}`, chain);
+		recordPrefix(knownPrefixes, `engine-${(index * 7) % engines}`, chain.slice(0, 8));
 	}
 
 	return timeCalls(2000, index => {
@@ -78,24 +79,25 @@
 			},
 			backends,
 			findBackend: id => byId.get(id),
-			countCachedBlocks: (id, chain) => countCachedBlocks(known, id, chain),
-			listHolders: hash => listHolders(known, hash),
+			countCachedBlocks: (id, chain) => countCachedBlocks(knownPrefixes, id, chain),
+			listHolders: hash => listHolders(knownPrefixes, hash),
 			random,
 		});
 	});
 };
 
+/** Measures adding a request to a queue of this length and removing one, in microseconds. */
 const measureQueue = (length: number): number => {
 	const queue = makeWaitingQueue();
-	const make = (index: number) => ({
+	const makeRequest = (index: number) => ({
 		id: String(index), account: `a${index % 50}`, share: 1, rank: index % 3, work: 100, waitingSince: index, deadline: 1e15, isBackground: false,
 	});
 	for (let index = 0; index < length; index++) {
-		enqueueRequest(queue, make(index), 1e9);
+		enqueueRequest(queue, makeRequest(index), 1e9);
 	}
 
 	return timeCalls(5000, index => {
-		enqueueRequest(queue, make(index), 1e9);
+		enqueueRequest(queue, makeRequest(index), 1e9);
 		dequeueRequest(queue, {now: 0, running: 0, capacity: 1});
 	});
 };
@@ -112,13 +114,14 @@
 	answerBy: 1_796_256_032_000,
 });
 
-const claimsInRecord = 20;
+const claimsPerRecord = 20;
 
-const foldClaims = (count: number): ReturnType<typeof makeClaimState> => {
+/** Builds the claim state from the records of this many claims. */
+const applyClaims = (count: number): ReturnType<typeof makeClaimState> => {
 	let state = makeClaimState();
-	for (let offset = 0; offset * claimsInRecord < count; offset++) {
-		const claims = Array.from({length: claimsInRecord}, (_value, index) => makeClaim((offset * claimsInRecord) + index));
-		// As a reader gets them: nothing shared.
+	for (let offset = 0; offset * claimsPerRecord < count; offset++) {
+		const claims = Array.from({length: claimsPerRecord}, (_value, index) => makeClaim((offset * claimsPerRecord) + index));
+		// A reader of the log parses each record, so records share no objects.
 		const record: unknown = structuredClone({kind: 'claims', claims, outcomes: []});
 		state = applyClaimRecord(state, {offset: offset as LogOffset, appendedAt: 0, record});
 	}
@@ -126,21 +129,22 @@
 	return state;
 };
 
-const collect = (): number => {
+/** Returns the used heap, after a garbage collection if Node.js exposes it. */
+const readHeapBytes = (): number => {
 	globalThis.gc?.();
 	return process.memoryUsage().heapUsed;
 };
 
 const measureClaimMemory = (keys: number): number => {
-	const before = collect();
-	const state = foldClaims(keys);
-	const used = collect() - before;
-	return state.keys.size > 0 ? used / 1_048_576 : 0;
+	const before = readHeapBytes();
+	const state = applyClaims(keys);
+	const usedBytes = readHeapBytes() - before;
+	return state.keys.size > 0 ? usedBytes / 1_048_576 : 0;
 };
 
-const measureClaimTime = (keys: number): number => {
+const measureClaimMs = (keys: number): number => {
 	const startedAt = performance.now();
-	foldClaims(keys);
+	applyClaims(keys);
 	return performance.now() - startedAt;
 };
 
@@ -154,10 +158,11 @@
 	status: 'alive',
 });
 
-/** Envelope of a question and of an answer on a peer link beside the parameters: code, JSON-RPC, and two segments' headers. */
+/** Bytes that a message between peers has beside its parameters: authentication code, JSON-RPC and the headers of two segments. */
 const envelopeBytes = 22 + 60 + 52;
 
-const makeQuietState = (members: number): MembershipState => {
+/** Makes a state with this many members and no updates left to send. */
+const makeSettledState = (members: number): MembershipState => {
 	let state = applyUpdates(makeMembershipState(makeMember(0)), Array.from({length: members - 1}, (_value, index) => makeMember(index + 1)), 0, defaultMembershipOptions);
 	while (state.rumors.length > 0) {
 		state = takeRumors(state, defaultMembershipOptions).state;
@@ -166,27 +171,27 @@
 	return state;
 };
 
-/** Bytes a second of one daemon: it probes one member and is probed by one, with news as often as the size's churn makes it. */
+/** Computes the bytes per second of a daemon that probes one member and is probed by one, with updates at the rate expected for the fleet size. */
 const measureProbeBytes = (members: number): number => {
-	let state = makeQuietState(members);
+	let state = makeSettledState(members);
 	const random = makeRandom(1);
-	// 850 of 870 daemons' worth of failures and replacements a day, each two pieces of news, in proportion.
-	const newsPerSecond = (850 / 86_400) * (members / 870) * 2;
+	// Per day, 850 daemons in a fleet of 870 fail and are replaced, in proportion for other sizes. Each yields two updates.
+	const updatesPerSecond = (850 / 86_400) * (members / 870) * 2;
 	const seconds = 2000;
 	let bytes = 0;
-	let owed = 0;
+	let dueUpdates = 0;
 	for (let second = 0; second < seconds; second++) {
-		owed += newsPerSecond;
-		while (owed >= 1) {
-			owed--;
+		dueUpdates += updatesPerSecond;
+		while (dueUpdates >= 1) {
+			dueUpdates--;
 			const index = 1 + Math.floor(random() * (members - 1));
 			state = applyUpdates(state, [{...makeMember(index), epoch: 1_796_256_000_000 + (second * 1000)}], 0, defaultMembershipOptions);
 		}
 
 		for (let message = 0; message < 4; message++) {
-			const choice = takeRumors(state, defaultMembershipOptions);
-			state = choice.state;
-			bytes += envelopeBytes + JSON.stringify({updates: [state.self, ...choice.updates], versions: {default: 123_456}}).length;
+			const taken = takeRumors(state, defaultMembershipOptions);
+			state = taken.state;
+			bytes += envelopeBytes + JSON.stringify({updates: [state.self, ...taken.updates], versions: {default: 123_456}}).length;
 		}
 
 		state = chooseProbeTarget(state, random).state;
@@ -195,14 +200,15 @@
 	return bytes / seconds;
 };
 
-const measureProbeTime = (members: number): number => {
-	let state = makeQuietState(members);
+/** Measures the computation of one probe with two received updates, in microseconds. */
+const measureProbeMicroseconds = (members: number): number => {
+	let state = makeSettledState(members);
 	const random = makeRandom(1);
-	const news = [makeMember(0), makeMember(1)];
+	const updates = [makeMember(0), makeMember(1)];
 	return timeCalls(2000, () => {
 		state = chooseProbeTarget(state, random).state;
 		state = takeRumors(state, defaultMembershipOptions).state;
-		state = applyUpdates(state, news, 0, defaultMembershipOptions);
+		state = applyUpdates(state, updates, 0, defaultMembershipOptions);
 	});
 };
 
@@ -211,14 +217,16 @@
 	...Array.from({length: entries}, (_value, index) => `[[backend]]\nid = "engine-${index}"\naddress = "10.0.0.1:9000"\navailability_zone = "zone-1"\nmachine_class = "a"\nservices = ["assistant"]\n`),
 ].join('\n');
 
-const measureConfiguration = (entries: number): number => {
+/** Measures parsing and validating a configuration with this many backend servers, in milliseconds. */
+const measureConfigurationText = (entries: number): number => {
 	const text = makeLargeConfiguration(entries);
 	const startedAt = performance.now();
 	readToml(text, configurationSchema);
 	return performance.now() - startedAt;
 };
 
-const measureConfigurationFold = (records: number): number => {
+/** Measures applying this many records of the configuration stream, in milliseconds. */
+const measureConfigurationRecords = (records: number): number => {
 	const startedAt = performance.now();
 	let state = emptyConfigurationState;
 	for (let offset = 0; offset < records; offset++) {
@@ -252,19 +260,19 @@
 			name: 'memory of claims', with: 'keys', unit: 'MB', sizes: [1000, 10_000, 50_000, 100_000], repeats: 3, measure: measureClaimMemory,
 		}),
 		await measureSlope({
-			name: 'reading claims', with: 'keys', unit: 'ms', sizes: [1000, 10_000, 50_000, 100_000], repeats: 3, measure: measureClaimTime,
+			name: 'reading claims', with: 'keys', unit: 'ms', sizes: [1000, 10_000, 50_000, 100_000], repeats: 3, measure: measureClaimMs,
 		}),
 		await measureSlope({
 			name: 'membership traffic of one daemon', with: 'members', unit: 'bytes/s', sizes: [9, 30, 100, 174, 300, 870], repeats: 3, measure: measureProbeBytes,
 		}),
 		await measureSlope({
-			name: 'membership fold of one probe', with: 'members', unit: 'µs', sizes: [9, 30, 100, 174, 300, 870], repeats, measure: measureProbeTime,
+			name: 'membership fold of one probe', with: 'members', unit: 'µs', sizes: [9, 30, 100, 174, 300, 870], repeats, measure: measureProbeMicroseconds,
 		}),
 		await measureSlope({
-			name: 'configuration read and checked', with: 'entries', unit: 'ms', sizes: [10, 100, 500, 1000], repeats, measure: measureConfiguration,
+			name: 'configuration read and checked', with: 'entries', unit: 'ms', sizes: [10, 100, 500, 1000], repeats, measure: measureConfigurationText,
 		}),
 		await measureSlope({
-			name: 'configuration stream folded', with: 'records', unit: 'ms', sizes: [100, 1000, 4500], repeats, measure: measureConfigurationFold,
+			name: 'configuration stream folded', with: 'records', unit: 'ms', sizes: [100, 1000, 4500], repeats, measure: measureConfigurationRecords,
 		}),
 	];
 	return slopes;
--- a/scripts/measure/src/slopes/socket-slopes.ts
+++ b/scripts/measure/src/slopes/socket-slopes.ts
@@ -1,4 +1,4 @@
-/** Slopes of a daemon with sockets: what a request, a chunk, an open stream, a report and a poll cost. */
+/** Measures how the costs of daemons that run with real sockets grow: requests, tokens, open streams, load reports, log polls, idle traffic and claims. */
 import {setMaxListeners} from 'node:events';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {Agent} from 'undici';
@@ -16,6 +16,7 @@
 import {startWorker, type HostedWorker} from '../worker-host.js';
 import {measureSlope, type Slope} from './slope.js';
 
+/** Minimum time between two tokens of a stream. */
 const paceMs = 28;
 const models = ['assistant-7b'];
 
@@ -35,11 +36,12 @@
 	configurationText: `${makeConfigurationText()}\n[[backend]]\nid = "engine-1"\naddress = "${engine.address}"\navailability_zone = "zone-1"\nservices = ["assistant"]\n`,
 });
 
-const askMany = async (address: string, streams: number, requests: number, tokens: number): Promise<void> => {
+/** Sends requests on concurrent streams, one after the other in each stream. */
+const sendRequests = async (address: string, streams: number, requests: number, tokens: number): Promise<void> => {
 	const dispatcher = new Agent({connections: streams, pipelining: 1});
 	await Promise.all(Array.from({length: streams}, async (_value, stream) => {
 		for (let index = 0; index < requests; index++) {
-			// eslint-disable-next-line no-await-in-loop -- one question after the other
+			// eslint-disable-next-line no-await-in-loop -- a stream sends one request at a time
 			await askStream({
 				address, marker: `m${stream}-${index}`, tokens, dispatcher,
 			});
@@ -48,48 +50,49 @@
 	await dispatcher.close();
 };
 
-/** Busy milliseconds of the daemon's event loop for one request with so many tokens. */
+/** Measures the time that the daemon's event loop is busy with a request of this many tokens, in milliseconds. */
 const measureRequest = async (daemon: HostedWorker, tokens: number): Promise<number> => {
 	const streams = 40;
 	const requests = Math.max(3, Math.ceil(60 / tokens));
 	const before = await daemon.readUsage();
-	await askMany(daemon.address, streams, requests, tokens);
+	await sendRequests(daemon.address, streams, requests, tokens);
 	const after = await daemon.readUsage();
 	return (after.activeMs - before.activeMs) / (streams * requests);
 };
 
-/** Heap in MB while so many streams are open. */
+/** Measures the daemon's heap while this many streams are open, in MB. */
 const measureOpenStreams = async (daemon: HostedWorker, streams: number): Promise<number> => {
-	const stopping = new AbortController();
-	setMaxListeners(0, stopping.signal);
-	const asking = Array.from({length: streams}, async (_value, stream) => {
+	const abortController = new AbortController();
+	setMaxListeners(0, abortController.signal);
+	const openRequests = Array.from({length: streams}, async (_value, stream) => {
 		try {
 			await askStream({
-				address: daemon.address, marker: `o${stream}`, tokens: 100_000, signal: stopping.signal,
+				address: daemon.address, marker: `o${stream}`, tokens: 100_000, signal: abortController.signal,
 			});
 		} catch {
-			// They are broken off below.
+			// The requests are aborted below.
 		}
 	});
 	await sleep(1500);
 	const samples: number[] = [];
 	for (let index = 0; index < 10; index++) {
-		const usage = await daemon.readUsage(); // eslint-disable-line no-await-in-loop -- samples in time
+		const usage = await daemon.readUsage(); // eslint-disable-line no-await-in-loop -- samples are taken at intervals
 		samples.push(usage.heapMb);
-		await sleep(100); // eslint-disable-line no-await-in-loop -- samples in time
+		await sleep(100); // eslint-disable-line no-await-in-loop -- samples are taken at intervals
 	}
 
-	stopping.abort();
-	await Promise.all(asking);
+	abortController.abort();
+	await Promise.all(openRequests);
 	await sleep(300);
-	// The lowest sample is nearest to what is held rather than waiting for collection.
+	// The lowest sample contains the least garbage that has not been collected yet.
 	return Math.min(...samples);
 };
 
 const measureDaemonSlopes = async (): Promise<Slope[]> => {
 	const engine = await startEngine();
 	const daemon = await startDaemon(engine);
-	await askMany(daemon.address, 50, 60, 5);
+	// Warms up the daemon, so that the first measurements aren't slower than the others.
+	await sendRequests(daemon.address, 50, 60, 5);
 	const slopes = [
 		await measureSlope({
 			name: 'daemon\'s busy time of one streamed request', with: 'tokens', unit: 'ms', sizes: [1, 20, 60, 120], repeats: 3, measure: async size => measureRequest(daemon, size),
@@ -102,14 +105,14 @@
 	return slopes;
 };
 
-/** Bytes of so many load reports, HTTP and all, without the headers of TCP and IP. */
+/** Measures the bytes of this many load reports, including HTTP but without TCP and IP headers. */
 const measureReportBytes = async (reports: number): Promise<number> => {
 	const engine = await startEngineStandIn({models});
 	const relay = await startRelay(engine.address);
 	const dispatcher = new Agent({pipelining: 1});
 	const signal = AbortSignal.timeout(60_000);
 	for (let index = 0; index < reports; index++) {
-		await readLoad(relay.address, dispatcher, signal); // eslint-disable-line no-await-in-loop -- one after the other
+		await readLoad(relay.address, dispatcher, signal); // eslint-disable-line no-await-in-loop -- reports are read sequentially
 	}
 
 	const bytes = relay.countBytes();
@@ -118,12 +121,13 @@
 	return bytes;
 };
 
+/** Measures the bytes of this many polls of an idle log, including HTTP but without TCP and IP headers. */
 const measurePollBytes = async (polls: number): Promise<number> => {
 	const server = await startLogStandIn();
 	const relay = await startRelay(server.address);
 	const log = makeHttpLog({baseUrl: relay.url, makeDispatcher: () => new Agent({pipelining: 1}), now: Date.now});
 	for (let index = 0; index < polls; index++) {
-		// eslint-disable-next-line no-await-in-loop -- one after the other
+		// eslint-disable-next-line no-await-in-loop -- polls are sequential
 		await log.read({
 			stream: 'configuration', from: 0 as LogOffset, limit: 500, waitUntil: (Date.now() + 5) as Deadline,
 		});
@@ -135,41 +139,42 @@
 	return bytes;
 };
 
-/** Bytes of control that a daemon of a small fleet sends and receives in a second, with nothing going on, by members. */
-const measureIdleControl = async (members: number): Promise<number> => {
+/** Measures the control traffic that a daemon sends and receives in an idle fleet of this many members, in bytes per second. */
+const measureIdleTraffic = async (members: number): Promise<number> => {
 	const platform = await startPlatform();
 	const relay = await startRelay(platform.log.address);
 	const daemons: Daemon[] = [];
 	for (let index = 0; index < members; index++) {
-		// eslint-disable-next-line no-await-in-loop -- each seeds the next
+		// eslint-disable-next-line no-await-in-loop -- later members use earlier ones as seeds
 		const daemon = await startMember({
 			id: `entry-${index}`, availabilityZone: 'zone-1', platform, logUrl: relay.url, seeds: daemons.slice(0, 2).map(other => other.peers), peers: {probeEveryMs: 1000, suspectForMs: 4000},
 		});
 		daemons.push(daemon);
 	}
 
-	await waitFor('all know all', () => daemons.every(daemon => daemon.listMembers().length === members), 60_000);
+	await waitFor('every daemon lists all members', () => daemons.every(daemon => daemon.listMembers().length === members), 60_000);
 	await sleep(4000);
-	const count = (): number => relay.countBytes() + daemons.map(daemon => daemon.countPeerBytes()).reduce((left, right) => left + right);
-	const before = count();
+	const countBytes = (): number => relay.countBytes() + daemons.map(daemon => daemon.countPeerBytes()).reduce((left, right) => left + right);
+	const before = countBytes();
 	const seconds = 10;
 	await sleep(seconds * 1000);
-	const bytes = count() - before;
+	const bytes = countBytes() - before;
 	await Promise.all(daemons.map(async daemon => daemon.stop()));
 	await relay.close();
 	await platform.close();
 	return bytes / seconds / members;
 };
 
+/** Measures the log appends per call that needs a claim, by the number of concurrent callers. */
 const measureClaimAppends = async (callers: number): Promise<number> => {
 	const platform = await startWorker({kind: 'platform'});
 	const settings = makeSettings({
 		id: 'entry-1', availabilityZone: 'zone-1', platform: undefined, platformUrls: {log: platform.addresses.log!, instances: platform.addresses.list!},
 	});
 	const daemon = await startWorker({kind: 'daemon', settings, configurationText: makeConfigurationText()});
-	await waitFor('it serves', async () => {
-		const answer = await reserve({address: daemon.address, key: `ready-${Math.random()}`, body: '{}'});
-		return answer.status === 200;
+	await waitFor('the daemon serves requests', async () => {
+		const response = await reserve({address: daemon.address, key: `ready-${Math.random()}`, body: '{}'});
+		return response.status === 200;
 	});
 	const before = await platform.control({kind: 'count_appends'}) as number;
 	const calls = 400;
@@ -177,7 +182,7 @@
 	await Promise.all(Array.from({length: callers}, async () => {
 		while (next < calls) {
 			next++;
-			await reserve({address: daemon.address, key: `k${next}`, body: '{}'}); // eslint-disable-line no-await-in-loop -- a caller waits for its answer
+			await reserve({address: daemon.address, key: `k${next}`, body: '{}'}); // eslint-disable-line no-await-in-loop -- a caller waits for each response
 		}
 	}));
 	const appends = await platform.control({kind: 'count_appends'}) as number - before;
@@ -194,7 +199,7 @@
 		name: 'polls of an idle log', with: 'polls', unit: 'bytes', sizes: [10, 50, 200], repeats: 2, measure: measurePollBytes,
 	}),
 	await measureSlope({
-		name: 'idle control of one daemon, sockets', with: 'members of a zone', unit: 'bytes/s', sizes: [2, 4, 8, 16], repeats: 1, measure: measureIdleControl,
+		name: 'idle control of one daemon, sockets', with: 'members of a zone', unit: 'bytes/s', sizes: [2, 4, 8, 16], repeats: 1, measure: measureIdleTraffic,
 	}),
 	await measureSlope({
 		name: 'appends of one claimed call', with: 'callers at once', unit: 'appends', sizes: [1, 10, 40, 100], repeats: 1, measure: measureClaimAppends,
