--- a/scripts/soak/src/callers.ts
+++ b/scripts/soak/src/callers.ts
@@ -1,38 +1,40 @@
-/** Callers of one run: each keeps its connections open and sends one call after the other to any daemon. */
+/** Load generator of the soak: each caller keeps its connections open and sends calls one at a time to any daemon. */
 import http from 'node:http';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {secondKey} from '@shallotpass/platform/stand-ins/platform-fixture.js';
 import {type RouteName, sendCall, shopKey} from '@shallotpass/platform/stand-ins/send-call.js';
-import {type CallEnd, type EndedCall, type SentCall} from './history.js';
-import {type SoakWorld} from './soak-world.js';
+import {type CallOutcome, type CompletedCall, type SentCall} from './history.js';
+import {type SoakCluster} from './soak-world.js';
 
 const routes: readonly RouteName[] = ['read', 'book', 'ask', 'draft'];
 
-/** Pause between two calls of one caller, in milliseconds; a caller gives a call up after `patienceMs`, which is beyond each route's time limit. */
-const longestPauseMs = 120;
-const patienceMs = 8000;
+/** Maximum pause between two calls of one caller. */
+const maxPauseMs = 120;
 
-/** A caller stays with a daemon for some calls, so that its connections are kept. */
-const stayShare = 0.7;
+/** A caller aborts a call after this time. It exceeds the time limit of every route. */
+const callTimeoutMs = 8000;
 
-/** Part of the calls that bear the key which comes and goes. */
+/** Probability that the next call goes to the same daemon, so that connections are reused. */
+const sameDaemonShare = 0.7;
+
+/** Share of the calls that use the second key, which the configuration changes add and remove. */
 const secondKeyShare = 0.1;
 
 export type CallerOptions = {
-	readonly world: SoakWorld;
+	readonly cluster: SoakCluster;
 	readonly name: string;
 	readonly random: () => number;
-	/** Callers begin no call after this is aborted. */
+	/** Callers start no new call after this signal is aborted. */
 	readonly signal: AbortSignal;
-	/** Only the key that is always there, as for the calls of the calm end. */
-	readonly hasOneKey: () => boolean;
+	/** Whether calls use only the key that is always valid, as in the fault-free period at the end of a run. */
+	readonly isLimitedToFirstKey: () => boolean;
 };
 
-const send = async (address: string, call: SentCall, agent: http.Agent): Promise<CallEnd | undefined> => {
-	const patience = AbortSignal.timeout(patienceMs);
+const sendWithTimeout = async (address: string, call: SentCall, agent: http.Agent): Promise<CallOutcome | undefined> => {
+	const timeout = AbortSignal.timeout(callTimeoutMs);
 	try {
 		const answer = await sendCall({
-			address, route: call.route, id: call.id, key: call.key, agent, signal: patience, body: call.body === '' ? undefined : call.body,
+			address, route: call.route, id: call.id, key: call.key, agent, signal: timeout, body: call.body === '' ? undefined : call.body,
 		});
 		return {
 			kind: 'answered',
@@ -43,34 +45,34 @@
 			isWhole: answer.isWhole,
 		};
 	} catch (error) {
-		return patience.aborted ? undefined : {kind: 'cut', reason: error instanceof Error ? error.message : String(error)};
+		return timeout.aborted ? undefined : {kind: 'cut', reason: error instanceof Error ? error.message : String(error)};
 	}
 };
 
-/** Sends calls until the signal is aborted; gives what became of each. */
-export const runCaller = async ({world, name, random, signal, hasOneKey}: CallerOptions): Promise<EndedCall[]> => {
+/** Sends calls until the signal is aborted. Returns all calls with their outcomes. */
+export const runCaller = async ({cluster, name, random, signal, isLimitedToFirstKey}: CallerOptions): Promise<CompletedCall[]> => {
 	const agent = new http.Agent({keepAlive: true});
-	const calls: EndedCall[] = [];
-	let daemon = world.daemons[0]!;
-	for (let count = 0; !signal.aborted; count++) {
-		if (random() > stayShare) {
-			daemon = world.daemons[Math.floor(random() * world.daemons.length)]!;
+	const calls: CompletedCall[] = [];
+	let daemon = cluster.daemons[0]!;
+	for (let callIndex = 0; !signal.aborted; callIndex++) {
+		if (random() > sameDaemonShare) {
+			daemon = cluster.daemons[Math.floor(random() * cluster.daemons.length)]!;
 		}
 
 		const route = routes[Math.floor(random() * routes.length)]!;
-		const hasSecondKey = random() < secondKeyShare && !hasOneKey();
+		const hasSecondKey = random() < secondKeyShare && !isLimitedToFirstKey();
 		const call: SentCall = {
-			id: `${name}-${count}`,
+			id: `${name}-${callIndex}`,
 			daemon: daemon.process.id,
 			route,
 			key: hasSecondKey ? secondKey : shopKey,
 			path: `/${route}/a`,
-			body: route === 'read' ? '' : `body of ${name}-${count}`,
+			body: route === 'read' ? '' : `body of ${name}-${callIndex}`,
 			sentAt: performance.now(),
 		};
-		const end = await send(daemon.process.settings.listen.callers, call, agent); // eslint-disable-line no-await-in-loop -- one call after the other
-		calls.push({...call, end, endedAt: performance.now()});
-		await sleep(random() * longestPauseMs); // eslint-disable-line no-await-in-loop -- one call after the other
+		const outcome = await sendWithTimeout(daemon.process.settings.listen.callers, call, agent); // eslint-disable-line no-await-in-loop -- one call after the other
+		calls.push({...call, end: outcome, endedAt: performance.now()});
+		await sleep(random() * maxPauseMs); // eslint-disable-line no-await-in-loop -- one call after the other
 	}
 
 	agent.destroy();
--- a/scripts/soak/src/daemon-process.ts
+++ b/scripts/soak/src/daemon-process.ts
@@ -1,4 +1,4 @@
-/** One daemon as a process of its own, with its settings file; only processes that were started here are ever signalled. */
+/** Runs one daemon as a child process with its own settings file. Signals are sent only to processes started here. */
 import {type ChildProcess, spawn} from 'node:child_process';
 import {createWriteStream, writeFileSync} from 'node:fs';
 import path from 'node:path';
@@ -7,80 +7,80 @@
 import {type GatewaySettings} from '@shallotpass/gateway/gateway-settings.js';
 
 const root = path.resolve(import.meta.dirname, '../../..');
-const program = path.join(root, 'target/shallotpassd.mjs');
+const bundlePath = path.join(root, 'target/shallotpassd.mjs');
 const clockModule = path.join(import.meta.dirname, 'shifted-clock.js');
 
-/** The platform starts a process that has ended again after such a pause, in milliseconds. */
-const restartMs = 500;
+/** Delay before a process that exited unexpectedly is restarted, as the platform does. */
+const restartDelayMs = 500;
 
 export type DaemonProcess = {
 	readonly id: string;
 	readonly settings: GatewaySettings;
-	/** How often it ended though nobody had stopped or killed it, and no signal came before it ran. */
-	readonly countOwnEnds: () => number;
+	/** Returns the number of exits that were not requested, except those caused by SIGHUP during the startup of Node.js. */
+	readonly countUnexpectedExits: () => number;
 	readonly isRunning: () => boolean;
 	readonly start: () => void;
 	readonly send: (signal: NodeJS.Signals) => void;
-	/** Sends the signal and waits until the process is gone. */
+	/** Sends the signal and waits until the process has exited. */
 	readonly end: (signal: 'SIGTERM' | 'SIGKILL') => Promise<void>;
 	readonly setClock: (offsetMs: number) => void;
-	/** Writes the settings file: whole, or cut short. */
-	readonly writeSettings: (how: 'whole' | 'cut_short', remark?: string) => void;
+	/** Writes the settings file, either complete or truncated. */
+	readonly writeSettings: (how: 'whole' | 'cut_short', comment?: string) => void;
 };
 
 const toSnakeCase = (name: string): string => name.replaceAll(/[A-Z]/gv, letter => `_${letter.toLowerCase()}`);
 
-const withSnakeCase = (value: unknown): unknown => typeof value === 'object' && value !== null && !Array.isArray(value)
-	? Object.fromEntries(Object.entries(value).map(([name, inner]) => [toSnakeCase(name), withSnakeCase(inner)]))
+const convertKeysToSnakeCase = (value: unknown): unknown => typeof value === 'object' && value !== null && !Array.isArray(value)
+	? Object.fromEntries(Object.entries(value).map(([name, nested]) => [toSnakeCase(name), convertKeysToSnakeCase(nested)]))
 	: value;
 
-export const openDaemonProcess = (settings: GatewaySettings, folder: string): DaemonProcess => {
+export const makeDaemonProcess = (settings: GatewaySettings, folder: string): DaemonProcess => {
 	const {id} = settings.instance;
 	const settingsPath = path.join(folder, `${id}.toml`);
 	const clockPath = path.join(folder, `${id}.clock`);
 	const log = createWriteStream(path.join(folder, `${id}.log`), {flags: 'a'});
-	const text = stringify(withSnakeCase(settings));
-	const writeSettings: DaemonProcess['writeSettings'] = (how, remark = '') => {
-		writeFileSync(settingsPath, how === 'whole' ? `# ${remark}\n${text}` : text.slice(0, text.length / 3));
+	const text = stringify(convertKeysToSnakeCase(settings));
+	const writeSettings: DaemonProcess['writeSettings'] = (how, comment = '') => {
+		writeFileSync(settingsPath, how === 'whole' ? `# ${comment}\n${text}` : text.slice(0, text.length / 3));
 	};
 
 	let child: ChildProcess | undefined;
-	/** Whether the end that comes next was asked for. */
-	let isEnding = false;
-	let ownEnds = 0;
+	/** Whether the next exit was requested. */
+	let isExitExpected = false;
+	let unexpectedExits = 0;
 	let restartTimer: NodeJS.Timeout | undefined;
 	writeSettings('whole');
 
 	const start = (): void => {
-		isEnding = false;
-		const started = spawn(process.execPath, ['--import', clockModule, program], {
+		isExitExpected = false;
+		const spawned = spawn(process.execPath, ['--import', clockModule, bundlePath], {
 			// eslint-disable-next-line @typescript-eslint/naming-convention -- environment variables
 			env: {...process.env, SHALLOTPASS_CONFIG: settingsPath, SHIFTED_CLOCK_FILE: clockPath},
 			stdio: ['ignore', 'pipe', 'pipe'],
 		});
-		started.stdout.pipe(log, {end: false});
-		started.stderr.pipe(log, {end: false});
-		let hasSpoken = false;
-		started.stdout.once('data', () => {
-			hasSpoken = true;
+		spawned.stdout.pipe(log, {end: false});
+		spawned.stderr.pipe(log, {end: false});
+		let hasWrittenOutput = false;
+		spawned.stdout.once('data', () => {
+			hasWrittenOutput = true;
 		});
-		started.once('exit', (_code, signal) => {
+		spawned.once('exit', (_code, signal) => {
 			child = undefined;
-			if (!isEnding) {
-				// A SIGHUP that comes while Node itself starts, before it runs any module, ends the process, and
-				// no program can prevent it: seen 3 to 323 ms after the start, and after a suspension in that time.
-				const isTooEarly = signal === 'SIGHUP' && !hasSpoken;
-				ownEnds += isTooEarly ? 0 : 1;
-				restartTimer = setTimeout(start, restartMs);
+			if (!isExitExpected) {
+				// SIGHUP terminates a process in which Node.js has not yet loaded any module, which a program cannot
+				// prevent. It was observed 3 to 323 ms after the start, and after a suspension during that time.
+				const isDuringNodeStartup = signal === 'SIGHUP' && !hasWrittenOutput;
+				unexpectedExits += isDuringNodeStartup ? 0 : 1;
+				restartTimer = setTimeout(start, restartDelayMs);
 			}
 		});
-		child = started;
+		child = spawned;
 	};
 
 	return {
 		id,
 		settings,
-		countOwnEnds: () => ownEnds,
+		countUnexpectedExits: () => unexpectedExits,
 		isRunning: () => child !== undefined,
 		start,
 		send(signal) {
@@ -88,19 +88,19 @@
 		},
 		async end(signal) {
 			clearTimeout(restartTimer);
-			isEnding = true;
-			const ending = child;
-			if (ending === undefined) {
+			isExitExpected = true;
+			const exitingChild = child;
+			if (exitingChild === undefined) {
 				return;
 			}
 
-			const gone = new Promise<void>(resolve => {
-				ending.once('exit', () => {
+			const exited = new Promise<void>(resolve => {
+				exitingChild.once('exit', () => {
 					resolve();
 				});
 			});
-			ending.kill(signal);
-			await gone;
+			exitingChild.kill(signal);
+			await exited;
 		},
 		setClock(offsetMs) {
 			writeFileSync(clockPath, String(offsetMs));
--- a/scripts/soak/src/history.ts
+++ b/scripts/soak/src/history.ts
@@ -1,7 +1,8 @@
-/** What callers, backend servers and the cloud saw in one run; all moments are on the steady clock of the soak, in milliseconds. */
+/** Events observed by callers, backend servers and the cloud in one run. All times are milliseconds on the monotonic clock of the soak process. */
 import {type DutyCall} from '@shallotpass/platform/stand-ins/cloud-stand-in.js';
 import {type RouteName} from '@shallotpass/platform/stand-ins/send-call.js';
 
+/** A call as sent by a caller. */
 export type SentCall = {
 	readonly id: string;
 	readonly daemon: string;
@@ -12,25 +13,27 @@
 	readonly sentAt: number;
 };
 
-export type CallEnd =
+export type CallOutcome =
 	| {
 		readonly kind: 'answered';
 		readonly status: number;
-		/** Id of the backend server that vouches for the answer; empty when the daemon answered itself. */
+		/** Id of the backend server that sealed the answer. Empty if the daemon answered itself. */
 		readonly sealedBy: string;
 		readonly requestId: string;
 		readonly body: string;
 		readonly isWhole: boolean;
 	}
-	/** The connection ended without an answer. */
+	/** The connection closed before an answer arrived. */
 	| {readonly kind: 'cut'; readonly reason: string};
 
-export type EndedCall = SentCall & {
-	readonly end: CallEnd | undefined;
+export type CompletedCall = SentCall & {
+	/** Undefined if the caller timed out. */
+	readonly end: CallOutcome | undefined;
 	readonly endedAt: number;
 };
 
-export type Run = {
+/** One execution of a call by a backend server. */
+export type BackendRun = {
 	readonly id: string;
 	readonly backend: string;
 	readonly service: string;
@@ -40,34 +43,35 @@
 	/** Whether the caller's key was passed on. */
 	readonly hasKey: boolean;
 	readonly at: number;
-	/** Memory of a run that was stopped elsewhere, with which it goes on. */
+	/** Handle of the KV cache with which this execution resumes one that was stopped on another backend server. */
 	readonly memory?: string;
 };
 
-/** A span in which a daemon, or all of them, could not know or do what it should. */
+/** A period in which a fault may have kept a daemon, or all daemons, from meeting the time bounds. */
 export type Disturbance = {
-	/** Undefined: all daemons. */
+	/** Undefined if all daemons are affected. */
 	readonly daemon: string | undefined;
 	readonly from: number;
 	readonly until: number;
 };
 
-/** A moment from which calls of some kind must not be served. */
+/** A period in which calls with a removed key must not be served, or a leaving backend server must not receive calls. */
 export type Ban =
 	| {readonly kind: 'key'; readonly key: string; readonly from: number; readonly until: number}
 	| {readonly kind: 'backend'; readonly backend: string; readonly from: number; readonly until: number};
 
 export type History = {
-	readonly calls: readonly EndedCall[];
-	readonly runs: readonly Run[];
+	readonly calls: readonly CompletedCall[];
+	readonly runs: readonly BackendRun[];
 	readonly duties: readonly DutyCall[];
 	readonly disturbances: readonly Disturbance[];
 	readonly bans: readonly Ban[];
-	/** Daemons that ended though nobody stopped or killed them. */
+	/** Daemons that exited although the soak neither stopped nor killed them. */
 	readonly ownEnds: readonly string[];
-	/** Daemons that took no calls long after the last disturbance. */
+	/** Daemons that did not become ready after the last fault. */
 	readonly neverReady: readonly string[];
-	/** From here on nothing was disturbed and everything must be served. */
+	/** Start of the fault-free period, in which calls must be served. */
 	readonly calmFrom: number;
+	/** Whether the run had only planned operations, such as daemon stops and configuration changes. */
 	readonly hasOnlyPlannedWork: boolean;
 };
--- a/scripts/soak/src/plan-faults.ts
+++ b/scripts/soak/src/plan-faults.ts
@@ -1,31 +1,40 @@
-/** What is to go wrong in a run, and when: all of it follows from the seed. */
+/** Plans the faults of a run and their start times, which are determined by the seed. */
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
 
+/** Modes of a relay that disrupt its connections, and `slow`, which adds latency. */
 export type LinkFault = 'cut' | 'silent' | 'forgetful' | 'reset' | 'one_way' | 'slow';
 
+/** Failure modes of a backend server stand-in. */
 export type BackendFault = 'close_after_read' | 'refuse' | 'break_stream' | 'fail' | 'mute' | 'other_id';
 
 export type Fault =
-	/** The process stands still, as an instance that is suspended. */
+	/** Stops the process temporarily with SIGSTOP, like the suspension of an instance. */
 	| {readonly kind: 'pause'; readonly daemon: number; readonly forMs: number}
+	/** Kills the process with SIGKILL and restarts it. */
 	| {readonly kind: 'kill'; readonly daemon: number; readonly forMs: number}
+	/** Stops the process with SIGTERM and restarts it. */
 	| {readonly kind: 'stop'; readonly daemon: number; readonly forMs: number}
-	/** The settings file changes, with a signal or without a word. */
+	/** Changes the settings file. `isTold` states whether a SIGHUP follows. */
 	| {readonly kind: 'reload'; readonly daemon: number; readonly isTold: boolean}
-	/** The settings file is cut short for a while. */
+	/** Truncates the settings file temporarily. */
 	| {readonly kind: 'spoil_settings'; readonly daemon: number; readonly forMs: number}
+	/** Shifts the system clock of the daemon temporarily. */
 	| {readonly kind: 'step_clock'; readonly daemon: number; readonly stepMs: number; readonly forMs: number}
-	/** The path between one daemon, or all of them, and the store. */
+	/** Disrupts the connections between one daemon, or all daemons if undefined, and the store. */
 	| {readonly kind: 'store'; readonly daemon: number | undefined; readonly how: LinkFault; readonly forMs: number}
+	/** Disrupts the connections between all daemons and the cloud. */
 	| {readonly kind: 'cloud'; readonly how: LinkFault; readonly forMs: number}
+	/** Disrupts the connections to a backend server. */
 	| {readonly kind: 'link'; readonly backend: number; readonly how: LinkFault; readonly forMs: number}
+	/** Makes a backend server fail in the given way temporarily. */
 	| {readonly kind: 'misbehave'; readonly backend: number; readonly how: BackendFault; readonly forMs: number}
+	/** Removes a backend server from the store for a while. `isTold` states whether it first announces that it is leaving. */
 	| {readonly kind: 'leave'; readonly backend: number; readonly isTold: boolean; readonly forMs: number}
-	/** A new version; the second key comes and goes with it. */
+	/** Writes a new configuration version that contains or lacks the second key. */
 	| {readonly kind: 'configure'; readonly hasSecondKey: boolean};
 
 export type PlannedFault = {
-	/** Milliseconds after the callers began. */
+	/** Start of the fault in milliseconds after the beginning of the run. */
 	readonly at: number;
 	readonly fault: Fault;
 };
@@ -34,73 +43,74 @@
 	readonly seed: number;
 	readonly daemons: number;
 	readonly backends: number;
-	/** Time in which faults begin, in milliseconds. */
+	/** Length of the period in which faults start. */
 	readonly forMs: number;
 	readonly hasOnlyPlannedWork: boolean;
 };
 
-type Draw = {
-	readonly pickNumber: (below: number) => number;
-	readonly pickOf: <Value>(values: readonly Value[]) => Value;
-	readonly drawMs: (least: number, most: number) => number;
-	readonly isTrue: () => boolean;
+/** Seeded random choices from which faults are made. */
+type RandomChoices = {
+	readonly pickIndex: (length: number) => number;
+	readonly pickElement: <Value>(values: readonly Value[]) => Value;
+	readonly pickMs: (min: number, max: number) => number;
+	readonly pickBoolean: () => boolean;
 };
 
 const linkFaults: readonly LinkFault[] = ['cut', 'silent', 'forgetful', 'reset', 'one_way', 'slow'];
 const backendFaults: readonly BackendFault[] = ['close_after_read', 'refuse', 'break_stream', 'fail', 'mute', 'other_id'];
 
-const plannedWork: ReadonlyArray<(draw: Draw, options: FaultOptions) => Fault> = [
-	({pickNumber, drawMs}, {daemons}) => ({kind: 'stop', daemon: pickNumber(daemons), forMs: drawMs(0, 1500)}),
-	({pickNumber, isTrue}, {daemons}) => ({kind: 'reload', daemon: pickNumber(daemons), isTold: isTrue()}),
-	({pickNumber, isTrue, drawMs}, {backends}) => ({
-		kind: 'leave', backend: pickNumber(backends), isTold: isTrue(), forMs: drawMs(2500, 4000),
+const plannedWork: ReadonlyArray<(choices: RandomChoices, options: FaultOptions) => Fault> = [
+	({pickIndex, pickMs}, {daemons}) => ({kind: 'stop', daemon: pickIndex(daemons), forMs: pickMs(0, 1500)}),
+	({pickIndex, pickBoolean}, {daemons}) => ({kind: 'reload', daemon: pickIndex(daemons), isTold: pickBoolean()}),
+	({pickIndex, pickBoolean, pickMs}, {backends}) => ({
+		kind: 'leave', backend: pickIndex(backends), isTold: pickBoolean(), forMs: pickMs(2500, 4000),
 	}),
-	({isTrue}) => ({kind: 'configure', hasSecondKey: isTrue()}),
+	({pickBoolean}) => ({kind: 'configure', hasSecondKey: pickBoolean()}),
 ];
 
-const unplanned: ReadonlyArray<(draw: Draw, options: FaultOptions) => Fault> = [
-	({pickNumber, drawMs}, {daemons}) => ({kind: 'pause', daemon: pickNumber(daemons), forMs: drawMs(300, 4500)}),
-	({pickNumber, drawMs}, {daemons}) => ({kind: 'kill', daemon: pickNumber(daemons), forMs: drawMs(0, 2500)}),
-	({pickNumber, drawMs}, {daemons}) => ({kind: 'spoil_settings', daemon: pickNumber(daemons), forMs: drawMs(500, 3000)}),
-	({pickNumber, pickOf, drawMs}, {daemons}) => ({
-		kind: 'step_clock', daemon: pickNumber(daemons), stepMs: pickOf([-3_600_000, -4000, -700, 700, 4000, 3_600_000]), forMs: drawMs(1000, 4000),
+const unplannedFaults: ReadonlyArray<(choices: RandomChoices, options: FaultOptions) => Fault> = [
+	({pickIndex, pickMs}, {daemons}) => ({kind: 'pause', daemon: pickIndex(daemons), forMs: pickMs(300, 4500)}),
+	({pickIndex, pickMs}, {daemons}) => ({kind: 'kill', daemon: pickIndex(daemons), forMs: pickMs(0, 2500)}),
+	({pickIndex, pickMs}, {daemons}) => ({kind: 'spoil_settings', daemon: pickIndex(daemons), forMs: pickMs(500, 3000)}),
+	({pickIndex, pickElement, pickMs}, {daemons}) => ({
+		kind: 'step_clock', daemon: pickIndex(daemons), stepMs: pickElement([-3_600_000, -4000, -700, 700, 4000, 3_600_000]), forMs: pickMs(1000, 4000),
 	}),
-	({pickNumber, pickOf, isTrue, drawMs}, {daemons}) => ({
-		kind: 'store', daemon: isTrue() ? undefined : pickNumber(daemons), how: pickOf(linkFaults), forMs: drawMs(300, 5000),
+	({pickIndex, pickElement, pickBoolean, pickMs}, {daemons}) => ({
+		kind: 'store', daemon: pickBoolean() ? undefined : pickIndex(daemons), how: pickElement(linkFaults), forMs: pickMs(300, 5000),
 	}),
-	({pickOf, drawMs}) => ({kind: 'cloud', how: pickOf(linkFaults), forMs: drawMs(300, 4000)}),
-	({pickNumber, pickOf, drawMs}, {backends}) => ({
-		kind: 'link', backend: pickNumber(backends), how: pickOf(linkFaults), forMs: drawMs(200, 4000),
+	({pickElement, pickMs}) => ({kind: 'cloud', how: pickElement(linkFaults), forMs: pickMs(300, 4000)}),
+	({pickIndex, pickElement, pickMs}, {backends}) => ({
+		kind: 'link', backend: pickIndex(backends), how: pickElement(linkFaults), forMs: pickMs(200, 4000),
 	}),
-	({pickNumber, pickOf, drawMs}, {backends}) => ({
-		kind: 'misbehave', backend: pickNumber(backends), how: pickOf(backendFaults), forMs: drawMs(200, 3000),
+	({pickIndex, pickElement, pickMs}, {backends}) => ({
+		kind: 'misbehave', backend: pickIndex(backends), how: pickElement(backendFaults), forMs: pickMs(200, 3000),
 	}),
 ];
 
-/** One fault begins in each such time in the mean, so that they overlap. */
-const meanGapMs = 500;
+/** Mean time between the starts of two faults, short enough for faults to overlap. */
+const meanIntervalMs = 500;
 
-/** Faults come in series of up to so many, one shortly after the other. */
-const longestSeries = 3;
+/** Maximum number of faults of the same kind that start in quick succession. */
+const maxSeriesLength = 3;
 
 export const planFaults = (options: FaultOptions): PlannedFault[] => {
 	const random = makeRandom(options.seed);
-	const pickNumber = (below: number): number => Math.floor(random() * below);
-	const draw: Draw = {
-		pickNumber,
-		pickOf: values => values[pickNumber(values.length)]!,
-		drawMs: (least, most) => Math.round(least + (random() * (most - least))),
-		isTrue: () => random() < 0.5,
+	const pickIndex = (length: number): number => Math.floor(random() * length);
+	const choices: RandomChoices = {
+		pickIndex,
+		pickElement: values => values[pickIndex(values.length)]!,
+		pickMs: (min, max) => Math.round(min + (random() * (max - min))),
+		pickBoolean: () => random() < 0.5,
 	};
-	const kinds = options.hasOnlyPlannedWork ? plannedWork : [...plannedWork, ...unplanned, ...unplanned];
+	const faultMakers = options.hasOnlyPlannedWork ? plannedWork : [...plannedWork, ...unplannedFaults, ...unplannedFaults];
 	const planned: PlannedFault[] = [];
-	const count = Math.ceil(options.forMs / meanGapMs);
+	const count = Math.ceil(options.forMs / meanIntervalMs);
 	while (planned.length < count) {
-		const make = draw.pickOf(kinds);
-		const at = draw.drawMs(0, options.forMs);
-		const series = random() < 0.3 ? 2 + pickNumber(longestSeries - 1) : 1;
-		for (let index = 0; index < series; index++) {
-			planned.push({at: at + (index * draw.drawMs(50, 700)), fault: make(draw, options)});
+		const makeFault = choices.pickElement(faultMakers);
+		const at = choices.pickMs(0, options.forMs);
+		const seriesLength = random() < 0.3 ? 2 + pickIndex(maxSeriesLength - 1) : 1;
+		for (let index = 0; index < seriesLength; index++) {
+			planned.push({at: at + (index * choices.pickMs(50, 700)), fault: makeFault(choices, options)});
 		}
 	}
 
--- a/scripts/soak/src/run-soak.ts
+++ b/scripts/soak/src/run-soak.ts
@@ -1,25 +1,25 @@
-/** One run of the soak: daemons, callers, faults that overlap, a calm end, and the check of what was seen. */
+/** One run of the soak: starts daemons and callers, injects overlapping faults, waits for recovery and checks the recorded history. */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import path from 'node:path';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
 import {runCaller} from './callers.js';
 import {findViolations} from './check-history.js';
-import {type EndedCall, type History, type Run} from './history.js';
+import {type CompletedCall, type History, type BackendRun} from './history.js';
 import {planFaults} from './plan-faults.js';
 import {
-	backendCount, closeSoakWorld, type SoakWorld, startSoakWorld, waitForReady,
+	backendCount, closeSoakCluster, type SoakCluster, startSoakCluster, waitForReady,
 } from './soak-world.js';
-import {strike} from './strike.js';
+import {injectFault} from './strike.js';
 
 export type SoakOptions = {
 	readonly seed: number;
 	readonly daemons: number;
 	readonly callers: number;
-	/** Time in which faults begin, in milliseconds. */
+	/** Length of the period in which faults start. */
 	readonly faultsMs: number;
 	readonly hasOnlyPlannedWork: boolean;
-	/** Settings and logs go there. */
+	/** Directory for the daemons' settings and logs and for the recorded history. */
 	readonly folder: string;
 };
 
@@ -31,30 +31,32 @@
 	readonly faults: number;
 };
 
-/** Time that daemons have to recover after the last disturbance, as the users' sheets say, and the calm time in which all must be served, in milliseconds. */
+/** Time allowed for recovery after the last fault, as in the users' requirements. */
 const recoveryMs = 12_000;
-const calmMs = 2000;
 
-/** This process looks at the clock so often; when it is late by more than `stalledMs`, the machine was too busy for any bound of time, in milliseconds. */
-const pulseMs = 100;
-const stalledMs = 400;
+/** Length of the fault-free period, in which calls must be served. */
+const faultFreeMs = 2000;
 
-/** Records when the whole machine stood still, so that no daemon is blamed for it. */
-const watchStalls = async (world: SoakWorld, signal: AbortSignal): Promise<void> => {
-	let last = performance.now();
+/** Interval of the stall check. If a check is late by more than `stallThresholdMs`, the machine was too busy for time bounds to hold. */
+const checkIntervalMs = 100;
+const stallThresholdMs = 400;
+
+/** Records stalls of the whole machine as disturbances, so that they are not attributed to a daemon. */
+const recordStalls = async (cluster: SoakCluster, signal: AbortSignal): Promise<void> => {
+	let lastCheckedAt = performance.now();
 	while (!signal.aborted) {
-		await sleep(pulseMs); // eslint-disable-line no-await-in-loop -- a pulse
+		await sleep(checkIntervalMs); // eslint-disable-line no-await-in-loop -- a periodic check
 		const now = performance.now();
-		if (now > last + pulseMs + stalledMs) {
-			world.disturbances.push({daemon: undefined, from: last, until: now});
-			world.tell(`${Math.round(now)} the machine stood still for ${Math.round(now - last)} ms`);
+		if (now > lastCheckedAt + checkIntervalMs + stallThresholdMs) {
+			cluster.disturbances.push({daemon: undefined, from: lastCheckedAt, until: now});
+			cluster.addNote(`${Math.round(now)} the machine stalled for ${Math.round(now - lastCheckedAt)} ms`);
 		}
 
-		last = now;
+		lastCheckedAt = now;
 	}
 };
 
-const listRuns = (world: SoakWorld): Run[] => world.backends.flatMap(({standIn, service}) => standIn.executions.map(execution => ({
+const listRuns = (cluster: SoakCluster): BackendRun[] => cluster.backends.flatMap(({standIn, service}) => standIn.executions.map(execution => ({
 	id: execution.id,
 	backend: standIn.id,
 	service,
@@ -66,49 +68,49 @@
 	memory: execution.memory,
 })));
 
-const playFaults = async (world: SoakWorld, options: SoakOptions): Promise<number> => {
-	const planned = planFaults({...options, backends: backendCount, forMs: options.faultsMs});
-	const begun = performance.now();
-	await Promise.all(planned.map(async ({at, fault}) => {
-		await sleep(Math.max(0, begun + at - performance.now()));
-		await strike(world, fault);
+const injectFaults = async (cluster: SoakCluster, options: SoakOptions): Promise<number> => {
+	const plannedFaults = planFaults({...options, backends: backendCount, forMs: options.faultsMs});
+	const startedAt = performance.now();
+	await Promise.all(plannedFaults.map(async ({at, fault}) => {
+		await sleep(Math.max(0, startedAt + at - performance.now()));
+		await injectFault(cluster, fault);
 	}));
-	return planned.length;
+	return plannedFaults.length;
 };
 
 export const runSoak = async (options: SoakOptions): Promise<SoakReport> => {
 	mkdirSync(options.folder, {recursive: true});
 	const notes: string[] = [];
-	const closing = new AbortController();
-	const world = await startSoakWorld({
-		daemons: options.daemons, folder: options.folder, tell(line) {
+	const closeController = new AbortController();
+	const cluster = await startSoakCluster({
+		daemons: options.daemons, folder: options.folder, addNote(line) {
 			notes.push(line);
 		},
 	});
 	try {
-		void watchStalls(world, closing.signal);
-		const callersEnd = new AbortController();
-		let isCalm = false;
-		const running = Array.from({length: options.callers}, async (_value, index) => runCaller({
-			world, name: `caller-${index}`, random: makeRandom((options.seed * 1000) + index), signal: callersEnd.signal, hasOneKey: () => isCalm,
+		void recordStalls(cluster, closeController.signal);
+		const callersController = new AbortController();
+		let isFaultFree = false;
+		const callerRuns = Array.from({length: options.callers}, async (_value, index) => runCaller({
+			cluster, name: `caller-${index}`, random: makeRandom((options.seed * 1000) + index), signal: callersController.signal, isLimitedToFirstKey: () => isFaultFree,
 		}));
-		const faults = await playFaults(world, options);
-		const neverReady = await waitForReady(world);
+		const faultCount = await injectFaults(cluster, options);
+		const neverReady = await waitForReady(cluster);
 		await sleep(recoveryMs);
-		isCalm = true;
+		isFaultFree = true;
 		const calmFrom = performance.now();
-		await sleep(calmMs);
-		callersEnd.abort();
-		const ended = await Promise.all(running);
-		const calls: EndedCall[] = ended.flat();
+		await sleep(faultFreeMs);
+		callersController.abort();
+		const callsByCaller = await Promise.all(callerRuns);
+		const calls: CompletedCall[] = callsByCaller.flat();
 		const history: History = {
 			calls,
-			runs: listRuns(world),
-			duties: world.fixture.cloud.calls,
-			disturbances: world.disturbances,
-			bans: world.bans,
+			runs: listRuns(cluster),
+			duties: cluster.fixture.cloud.calls,
+			disturbances: cluster.disturbances,
+			bans: cluster.bans,
 			neverReady,
-			ownEnds: world.daemons.filter(({process}) => process.countOwnEnds() > 0).map(({process}) => process.id),
+			ownEnds: cluster.daemons.filter(({process}) => process.countUnexpectedExits() > 0).map(({process}) => process.id),
 			calmFrom,
 			hasOnlyPlannedWork: options.hasOnlyPlannedWork,
 		};
@@ -121,10 +123,10 @@
 			violations,
 			calls: calls.length,
 			served: calls.filter(({end}) => end?.kind === 'answered' && end.status === 200 && end.isWhole).length,
-			faults,
+			faults: faultCount,
 		};
 	} finally {
-		closing.abort();
-		await closeSoakWorld(world);
+		closeController.abort();
+		await closeSoakCluster(cluster);
 	}
 };
--- a/scripts/soak/src/shifted-clock.ts
+++ b/scripts/soak/src/shifted-clock.ts
@@ -1,14 +1,14 @@
 /**
- * Loaded into a daemon before its own code: on SIGUSR2 its time of day jumps to the offset, in
- * milliseconds, that stands in the file named by SHIFTED_CLOCK_FILE, as a time service does.
+ * Preloaded into a daemon to simulate clock steps. On SIGUSR2 it shifts `Date.now` by the offset in
+ * milliseconds read from the file named by SHIFTED_CLOCK_FILE.
  */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
 
-const path = process.env.SHIFTED_CLOCK_FILE;
-const readTimeOfDay = Date.now.bind(Date);
+const offsetPath = process.env.SHIFTED_CLOCK_FILE;
+const getSystemTimeMs = Date.now.bind(Date);
 let offsetMs = 0;
-Date.now = () => readTimeOfDay() + offsetMs;
+Date.now = () => getSystemTimeMs() + offsetMs;
 process.on('SIGUSR2', () => {
-	offsetMs = path === undefined ? 0 : Number(readFileSync(path, 'utf8'));
+	offsetMs = offsetPath === undefined ? 0 : Number(readFileSync(offsetPath, 'utf8'));
 });
--- a/scripts/soak/src/soak-world.ts
+++ b/scripts/soak/src/soak-world.ts
@@ -1,11 +1,11 @@
-/** The world of one run: stand-ins in this process, relays before each of them, daemons as processes of their own. */
+/** System under test of one run: stand-ins in this process, a relay in front of each, and daemons as child processes. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Relay, startRelay} from '@shallotpass/stand-ins/relay.js';
 import {type BackendStandIn} from '@shallotpass/platform/stand-ins/backend-stand-in.js';
 import {
 	announceBackend, makeSettings, type PlatformFixture, startPlatformFixture, waitUntil,
 } from '@shallotpass/platform/stand-ins/platform-fixture.js';
-import {type DaemonProcess, openDaemonProcess} from './daemon-process.js';
+import {type DaemonProcess, makeDaemonProcess} from './daemon-process.js';
 import {eventsPerStream} from './format-events.js';
 import {type Ban, type Disturbance} from './history.js';
 
@@ -13,7 +13,7 @@
 	readonly standIn: BackendStandIn;
 	readonly service: 'app' | 'llm';
 	readonly relay: Relay;
-	/** Grows with each return. */
+	/** Start time announced to the store. It increases each time the backend server returns. */
 	born: number;
 	isLeaving: boolean;
 };
@@ -22,38 +22,38 @@
 	readonly process: DaemonProcess;
 	readonly store: Relay;
 	readonly cloud: Relay;
-	/** Whether a fault holds the process: the next one leaves it alone. */
-	isHeld: boolean;
+	/** Whether a fault currently affects the process. Further faults skip it. */
+	hasActiveFault: boolean;
 };
 
-export type SoakWorld = {
+export type SoakCluster = {
 	readonly fixture: PlatformFixture;
 	readonly backends: readonly SoakBackend[];
 	readonly daemons: readonly SoakDaemon[];
 	readonly disturbances: Disturbance[];
 	readonly bans: Ban[];
 	version: number;
-	/** A line on what is done; kept with the logs of a run that broke a promise. */
-	readonly tell: (line: string) => void;
+	/** Adds a line to the notes, which are written with the history of the run. */
+	readonly addNote: (line: string) => void;
 };
 
-const engines = 3;
-const apps = 3;
-export const backendCount = engines + apps;
+const engineCount = 3;
+const appCount = 3;
+export const backendCount = engineCount + appCount;
 
-/** An event comes so long after the one before it, and an app answers so late, in milliseconds. */
-const workMs = 20;
+/** Delay between two events of an engine, and before the answer of an app. */
+const backendDelayMs = 20;
 
-export type WorldOptions = {
+export type SoakClusterOptions = {
 	readonly daemons: number;
-	/** Settings and logs of the daemons go there. */
+	/** Directory for the daemons' settings and logs. */
 	readonly folder: string;
-	readonly tell: (line: string) => void;
+	readonly addNote: (line: string) => void;
 };
 
-const openBackend = async (fixture: PlatformFixture, standIn: BackendStandIn, service: 'app' | 'llm'): Promise<SoakBackend> => {
+const addBackend = async (fixture: PlatformFixture, standIn: BackendStandIn, service: 'app' | 'llm'): Promise<SoakBackend> => {
 	const relay = await startRelay(standIn.address);
-	standIn.delayMs = workMs;
+	standIn.delayMs = backendDelayMs;
 	standIn.events = eventsPerStream;
 	announceBackend(fixture.store, standIn, {service, address: relay.address, born: 1});
 	return {
@@ -61,13 +61,13 @@
 	};
 };
 
-const openDaemon = async (fixture: PlatformFixture, index: number, folder: string): Promise<SoakDaemon> => {
-	const store = await startRelay(fixture.store.address);
-	const cloud = await startRelay(fixture.cloud.address);
-	const process = openDaemonProcess(makeSettings(`daemon-${index}`, store.address, cloud.address), folder);
+const startDaemon = async (fixture: PlatformFixture, index: number, folder: string): Promise<SoakDaemon> => {
+	const storeRelay = await startRelay(fixture.store.address);
+	const cloudRelay = await startRelay(fixture.cloud.address);
+	const process = makeDaemonProcess(makeSettings(`daemon-${index}`, storeRelay.address, cloudRelay.address), folder);
 	process.start();
 	return {
-		process, store, cloud, isHeld: false,
+		process, store: storeRelay, cloud: cloudRelay, hasActiveFault: false,
 	};
 };
 
@@ -76,60 +76,60 @@
 		const answer = await fetch(`http://${daemon.process.settings.listen.ready}/ready`);
 		return answer.status === 200;
 	} catch {
-		// It does not listen yet.
+		// The daemon does not listen yet.
 		return false;
 	}
 };
 
-/** A daemon that is not ready by then never will be, in milliseconds. */
-const readyWithinMs = 30_000;
+/** A daemon that is not ready within this time is reported as never ready. */
+const readyTimeoutMs = 30_000;
 
-/** Gives the daemons that did not become ready. */
-export const waitForReady = async (world: SoakWorld): Promise<string[]> => {
-	const giveUpAt = performance.now() + readyWithinMs;
-	const late: string[] = [];
-	for (const daemon of world.daemons) {
-		let hasAnswered = await isReady(daemon); // eslint-disable-line no-await-in-loop -- one after the other is as soon as the last
-		while (!hasAnswered && performance.now() < giveUpAt) {
+/** Waits for all daemons and returns the ids of those that did not become ready. */
+export const waitForReady = async (cluster: SoakCluster): Promise<string[]> => {
+	const deadline = performance.now() + readyTimeoutMs;
+	const notReady: string[] = [];
+	for (const daemon of cluster.daemons) {
+		let isDaemonReady = await isReady(daemon); // eslint-disable-line no-await-in-loop -- the total wait is that of the slowest daemon
+		while (!isDaemonReady && performance.now() < deadline) {
 			await sleep(50); // eslint-disable-line no-await-in-loop -- a poll
-			hasAnswered = await isReady(daemon); // eslint-disable-line no-await-in-loop -- a poll
+			isDaemonReady = await isReady(daemon); // eslint-disable-line no-await-in-loop -- a poll
 		}
 
-		if (!hasAnswered) {
-			late.push(daemon.process.id);
+		if (!isDaemonReady) {
+			notReady.push(daemon.process.id);
 		}
 	}
 
-	return late;
+	return notReady;
 };
 
-export const startSoakWorld = async ({daemons, folder, tell}: WorldOptions): Promise<SoakWorld> => {
-	const fixture = await startPlatformFixture({daemons: 0, engines, apps});
+export const startSoakCluster = async ({daemons, folder, addNote}: SoakClusterOptions): Promise<SoakCluster> => {
+	const fixture = await startPlatformFixture({daemons: 0, engines: engineCount, apps: appCount});
 	const backends = await Promise.all([
-		...fixture.engines.map(async standIn => openBackend(fixture, standIn, 'llm')),
-		...fixture.apps.map(async standIn => openBackend(fixture, standIn, 'app')),
+		...fixture.engines.map(async standIn => addBackend(fixture, standIn, 'llm')),
+		...fixture.apps.map(async standIn => addBackend(fixture, standIn, 'app')),
 	]);
-	const opened: SoakDaemon[] = [];
+	const startedDaemons: SoakDaemon[] = [];
 	for (let index = 0; index < daemons; index++) {
-		opened.push(await openDaemon(fixture, index, folder)); // eslint-disable-line no-await-in-loop -- ids in order
+		startedDaemons.push(await startDaemon(fixture, index, folder)); // eslint-disable-line no-await-in-loop -- started in the order of their ids
 	}
 
-	const world: SoakWorld = {
-		fixture, backends, daemons: opened, disturbances: [], bans: [], version: 1, tell,
+	const cluster: SoakCluster = {
+		fixture, backends, daemons: startedDaemons, disturbances: [], bans: [], version: 1, addNote,
 	};
-	await waitForReady(world);
-	await waitUntil('a daemon holds the lease', () => fixture.cloud.calls.length > 0);
-	return world;
+	await waitForReady(cluster);
+	await waitUntil('a daemon holds the lease and calls the cloud', () => fixture.cloud.calls.length > 0);
+	return cluster;
 };
 
-export const closeSoakWorld = async (world: SoakWorld): Promise<void> => {
-	await Promise.all(world.daemons.map(async ({process}) => {
+export const closeSoakCluster = async (cluster: SoakCluster): Promise<void> => {
+	await Promise.all(cluster.daemons.map(async ({process}) => {
 		process.send('SIGCONT');
 		await process.end('SIGKILL');
 	}));
 	await Promise.all([
-		...world.backends.map(async ({relay}) => relay.close()),
-		...world.daemons.flatMap(({store, cloud}) => [store.close(), cloud.close()]),
-		world.fixture.close(),
+		...cluster.backends.map(async ({relay}) => relay.close()),
+		...cluster.daemons.flatMap(({store: storeRelay, cloud: cloudRelay}) => [storeRelay.close(), cloudRelay.close()]),
+		cluster.fixture.close(),
 	]);
 };
--- a/scripts/soak/src/soak.test.ts
+++ b/scripts/soak/src/soak.test.ts
@@ -6,7 +6,7 @@
 import {planFaults} from './plan-faults.js';
 import {runSoak} from './run-soak.js';
 
-const play = async (seed: number, hasOnlyPlannedWork: boolean): Promise<void> => {
+const runAndCheck = async (seed: number, hasOnlyPlannedWork: boolean): Promise<void> => {
 	const folder = mkdtempSync(path.join(os.tmpdir(), 'soak-test-'));
 	const report = await runSoak({
 		seed, daemons: 3, callers: 6, faultsMs: 8000, hasOnlyPlannedWork, folder,
@@ -16,7 +16,7 @@
 	rmSync(folder, {recursive: true});
 };
 
-test('the same seed plans the same faults', () => {
+test('the same seed produces the same fault plan', () => {
 	const options = {
 		seed: 3, daemons: 3, backends: 6, forMs: 10_000, hasOnlyPlannedWork: false,
 	};
@@ -25,6 +25,6 @@
 	assert.ok(planFaults({...options, hasOnlyPlannedWork: true}).every(({fault}) => ['stop', 'reload', 'leave', 'configure'].includes(fault.kind)));
 });
 
-test('daemons that are killed, suspended and cut off keep every promise', async () => play(1, false));
+test('the guarantees hold while daemons are killed, suspended and disconnected', async () => runAndCheck(1, false));
 
-test('planned work loses no call', async () => play(8, true));
+test('planned work does not lose calls', async () => runAndCheck(8, true));
--- a/scripts/soak/src/strike.ts
+++ b/scripts/soak/src/strike.ts
@@ -1,4 +1,4 @@
-/** Makes one planned fault happen, and takes it back. */
+/** Injects planned faults into a running cluster and reverts them. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Relay} from '@shallotpass/stand-ins/relay.js';
 import {
@@ -6,76 +6,76 @@
 } from '@shallotpass/platform/stand-ins/platform-fixture.js';
 import {shopKey} from '@shallotpass/platform/stand-ins/send-call.js';
 import {type Fault, type LinkFault} from './plan-faults.js';
-import {type SoakDaemon, type SoakWorld} from './soak-world.js';
+import {type SoakDaemon, type SoakCluster} from './soak-world.js';
 
-/** What a slow path adds each way, in milliseconds. */
-const slowMs = 150;
+/** Latency that a slow link adds in each direction. */
+const addedLatencyMs = 150;
 
-/** Bound within which a configuration is in force and a leaving backend server gets no more calls, as the settings say. */
-const inForceMs = 2000;
+/** Time within which a configuration takes effect and a leaving backend server stops receiving calls. Matches the bounds in the daemons' settings. */
+const propagationBoundMs = 2000;
 
-/** Room for a busy processor: the bound itself is measured at the bench, here it must not depend on the load. */
+/** Tolerance for a busy machine. Benchmarks measure the bound itself; this check must not depend on the load. */
 const boundMarginMs = 1500;
 
-/** A backend server that left without a word serves on for the time of a drain. */
-const lastingMs = 2500;
+/** A backend server that leaves without an announcement keeps serving for this time, as if it drained. */
+const servingAfterRemovalMs = 2500;
 
-const breakLink = async (relays: readonly Relay[], how: LinkFault, forMs: number): Promise<void> => {
+const disruptLinks = async (relays: readonly Relay[], mode: LinkFault, forMs: number): Promise<void> => {
 	for (const relay of relays) {
-		if (how === 'slow') {
-			relay.setDelay(slowMs);
+		if (mode === 'slow') {
+			relay.setDelay(addedLatencyMs);
 		} else {
-			relay.setMode(how);
+			relay.setMode(mode);
 		}
 	}
 
 	await sleep(forMs);
 	for (const relay of relays) {
 		relay.setDelay(0);
-		// What hung is closed, so that both ends learn of it at last.
+		// Closes hanging connections so that both ends notice.
 		relay.setMode('cut');
 		relay.setMode('open');
 	}
 };
 
-const disturb = async (world: SoakWorld, daemon: string | undefined, act: () => Promise<void>): Promise<void> => {
+const recordDisturbance = async (cluster: SoakCluster, daemon: string | undefined, action: () => Promise<void>): Promise<void> => {
 	const from = performance.now();
-	// An open end until it is over: the check may run meanwhile.
-	const open = {daemon, from, until: Number.POSITIVE_INFINITY};
-	world.disturbances.push(open);
-	await act();
-	open.until = performance.now();
+	// The end stays open until the action is over, because the check may run in the meantime.
+	const disturbance = {daemon, from, until: Number.POSITIVE_INFINITY};
+	cluster.disturbances.push(disturbance);
+	await action();
+	disturbance.until = performance.now();
 };
 
-/** Leaves daemons alone that another fault holds. */
-const withDaemon = async (world: SoakWorld, index: number, act: (daemon: SoakDaemon) => Promise<void>): Promise<void> => {
-	const daemon = world.daemons[index]!;
-	if (daemon.isHeld) {
+/** Runs the action and records the disturbance, unless another fault already affects the daemon. */
+const withUndisturbedDaemon = async (cluster: SoakCluster, index: number, action: (daemon: SoakDaemon) => Promise<void>): Promise<void> => {
+	const daemon = cluster.daemons[index]!;
+	if (daemon.hasActiveFault) {
 		return;
 	}
 
-	daemon.isHeld = true;
+	daemon.hasActiveFault = true;
 	try {
-		await disturb(world, daemon.process.id, async () => act(daemon));
+		await recordDisturbance(cluster, daemon.process.id, async () => action(daemon));
 	} finally {
-		daemon.isHeld = false;
+		daemon.hasActiveFault = false;
 	}
 };
 
-const restart = async (daemon: SoakDaemon, signal: 'SIGTERM' | 'SIGKILL', forMs: number): Promise<void> => {
+const restartDaemon = async (daemon: SoakDaemon, signal: 'SIGTERM' | 'SIGKILL', forMs: number): Promise<void> => {
 	await daemon.process.end(signal);
 	await sleep(forMs);
 	daemon.process.start();
 };
 
-const leave = async (world: SoakWorld, index: number, isTold: boolean, forMs: number): Promise<void> => {
-	const backend = world.backends[index]!;
-	// The others of its service must be there for the callers.
-	if (backend.isLeaving || world.backends.some(other => other.service === backend.service && other.isLeaving)) {
+const removeBackendTemporarily = async (cluster: SoakCluster, index: number, isTold: boolean, forMs: number): Promise<void> => {
+	const backend = cluster.backends[index]!;
+	// At most one backend server per service may leave at a time, so that callers are still served.
+	if (backend.isLeaving || cluster.backends.some(other => other.service === backend.service && other.isLeaving)) {
 		return;
 	}
 
-	const {store} = world.fixture;
+	const {store} = cluster.fixture;
 	const entry = {service: backend.service, address: backend.relay.address, born: backend.born};
 	backend.isLeaving = true;
 	if (isTold) {
@@ -84,45 +84,47 @@
 		removeBackend(store, backend.standIn);
 	}
 
-	const told = performance.now();
+	const announcedAt = performance.now();
 	await sleep(forMs + boundMarginMs);
 	removeBackend(store, backend.standIn);
-	await sleep(lastingMs);
-	world.bans.push({
-		kind: 'backend', backend: backend.standIn.id, from: told + inForceMs + boundMarginMs, until: performance.now(),
+	await sleep(servingAfterRemovalMs);
+	cluster.bans.push({
+		kind: 'backend', backend: backend.standIn.id, from: announcedAt + propagationBoundMs + boundMarginMs, until: performance.now(),
 	});
 	backend.born++;
 	announceBackend(store, backend.standIn, {...entry, born: backend.born});
 	backend.isLeaving = false;
 };
 
-const configure = (world: SoakWorld, hasSecondKey: boolean): void => {
-	world.version++;
-	putAccountKeys(world.fixture.store, world.version, hasSecondKey ? [shopKey, secondKey] : [shopKey]);
+/** Writes a new configuration version with or without the second key. A ban of the second key from an earlier version ends now. */
+const changeAccountKeys = (cluster: SoakCluster, hasSecondKey: boolean): void => {
+	cluster.version++;
+	putAccountKeys(cluster.fixture.store, cluster.version, hasSecondKey ? [shopKey, secondKey] : [shopKey]);
 	const now = performance.now();
-	for (const ban of world.bans.filter(({kind, until}) => kind === 'key' && until === Number.POSITIVE_INFINITY)) {
-		world.bans[world.bans.indexOf(ban)] = {...ban, until: now};
+	for (const ban of cluster.bans.filter(({kind, until}) => kind === 'key' && until === Number.POSITIVE_INFINITY)) {
+		cluster.bans[cluster.bans.indexOf(ban)] = {...ban, until: now};
 	}
 
 	if (!hasSecondKey) {
-		world.bans.push({
-			kind: 'key', key: secondKey, from: now + inForceMs + boundMarginMs, until: Number.POSITIVE_INFINITY,
+		cluster.bans.push({
+			kind: 'key', key: secondKey, from: now + propagationBoundMs + boundMarginMs, until: Number.POSITIVE_INFINITY,
 		});
 	}
 };
 
-const misbehave = async (world: SoakWorld, fault: Fault & {kind: 'misbehave'}): Promise<void> => {
-	const {standIn} = world.backends[fault.backend]!;
+const applyBackendFault = async (cluster: SoakCluster, fault: Fault & {kind: 'misbehave'}): Promise<void> => {
+	const {standIn} = cluster.backends[fault.backend]!;
 	standIn.failureMode = fault.how;
 	await sleep(fault.forMs);
 	standIn.failureMode = undefined;
 };
 
-export const strike = async (world: SoakWorld, fault: Fault): Promise<void> => {
-	world.tell(`${Math.round(performance.now())} ${JSON.stringify(fault)}`);
+/** Injects a fault. Resolves when it has been reverted. */
+export const injectFault = async (cluster: SoakCluster, fault: Fault): Promise<void> => {
+	cluster.addNote(`${Math.round(performance.now())} ${JSON.stringify(fault)}`);
 	switch (fault.kind) {
 		case 'pause': {
-			await withDaemon(world, fault.daemon, async ({process}) => {
+			await withUndisturbedDaemon(cluster, fault.daemon, async ({process}) => {
 				process.send('SIGSTOP');
 				await sleep(fault.forMs);
 				process.send('SIGCONT');
@@ -131,17 +133,17 @@
 		}
 
 		case 'kill': {
-			await withDaemon(world, fault.daemon, async daemon => restart(daemon, 'SIGKILL', fault.forMs));
+			await withUndisturbedDaemon(cluster, fault.daemon, async daemon => restartDaemon(daemon, 'SIGKILL', fault.forMs));
 			return;
 		}
 
 		case 'stop': {
-			await withDaemon(world, fault.daemon, async daemon => restart(daemon, 'SIGTERM', fault.forMs));
+			await withUndisturbedDaemon(cluster, fault.daemon, async daemon => restartDaemon(daemon, 'SIGTERM', fault.forMs));
 			return;
 		}
 
 		case 'reload': {
-			const {process} = world.daemons[fault.daemon]!;
+			const {process} = cluster.daemons[fault.daemon]!;
 			process.writeSettings('whole', String(performance.now()));
 			if (fault.isTold) {
 				process.send('SIGHUP');
@@ -151,7 +153,7 @@
 		}
 
 		case 'spoil_settings': {
-			await withDaemon(world, fault.daemon, async ({process}) => {
+			await withUndisturbedDaemon(cluster, fault.daemon, async ({process}) => {
 				process.writeSettings('cut_short');
 				process.send('SIGHUP');
 				await sleep(fault.forMs);
@@ -162,7 +164,7 @@
 		}
 
 		case 'step_clock': {
-			await withDaemon(world, fault.daemon, async ({process}) => {
+			await withUndisturbedDaemon(cluster, fault.daemon, async ({process}) => {
 				process.setClock(fault.stepMs);
 				await sleep(fault.forMs);
 				process.setClock(0);
@@ -171,34 +173,34 @@
 		}
 
 		case 'store': {
-			const daemons = fault.daemon === undefined ? world.daemons : [world.daemons[fault.daemon]!];
+			const daemons = fault.daemon === undefined ? cluster.daemons : [cluster.daemons[fault.daemon]!];
 			const id = fault.daemon === undefined ? undefined : daemons[0]!.process.id;
-			await disturb(world, id, async () => breakLink(daemons.map(({store}) => store), fault.how, fault.forMs));
+			await recordDisturbance(cluster, id, async () => disruptLinks(daemons.map(({store}) => store), fault.how, fault.forMs));
 			return;
 		}
 
 		case 'cloud': {
-			await breakLink(world.daemons.map(({cloud}) => cloud), fault.how, fault.forMs);
+			await disruptLinks(cluster.daemons.map(({cloud}) => cloud), fault.how, fault.forMs);
 			return;
 		}
 
 		case 'link': {
-			await breakLink([world.backends[fault.backend]!.relay], fault.how, fault.forMs);
+			await disruptLinks([cluster.backends[fault.backend]!.relay], fault.how, fault.forMs);
 			return;
 		}
 
 		case 'misbehave': {
-			await misbehave(world, fault);
+			await applyBackendFault(cluster, fault);
 			return;
 		}
 
 		case 'leave': {
-			await leave(world, fault.backend, fault.isTold, fault.forMs);
+			await removeBackendTemporarily(cluster, fault.backend, fault.isTold, fault.forMs);
 			return;
 		}
 
 		case 'configure': {
-			configure(world, fault.hasSecondKey);
+			changeAccountKeys(cluster, fault.hasSecondKey);
 		}
 	}
 };
