--- a/packages/callers/src/try-suspect.ts
+++ b/packages/callers/src/try-suspect.ts
@@ -5,7 +5,7 @@
 import {waitQuietly} from '@shallotpass/common/clock.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
-import {hasPassedDeathPosition} from '@shallotpass/core/retries/suspects.js';
+import {hasPassedCrashPosition} from '@shallotpass/core/retries/suspects.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
 import {type ChatContext, type ChatProgress, type AttemptResult} from './chat-context.js';
 import {chooseEngine} from './choose-engine.js';
@@ -103,7 +103,7 @@
 
 	const suspect = suspects.get(context.fingerprint);
 	const clearIfPastDeath = (): void => {
-		if (!isCleared && hasPassedDeathPosition(suspect, progress.position.tokens)) {
+		if (!isCleared && hasPassedCrashPosition(suspect, progress.position.tokens)) {
 			isCleared = true;
 			releaseEngine();
 			void secondRun.clear();
--- a/packages/core/src/admission/compute-retry-after.ts
+++ b/packages/core/src/admission/compute-retry-after.ts
@@ -3,7 +3,7 @@
 /** A deadline counts as unreachable if the prediction exceeds this multiple of the remaining time. The margin allows for prediction errors. */
 const unreachableFactor = 1.5;
 
-/** Share of the remaining time after which the caller may retry. It leaves enough time for a second attempt. */
+/** Share of the remaining time after which the caller may retry. It leaves enough time for another attempt. */
 const retryAfterShare = 0.25;
 
 export type DeadlinePrediction = {
--- a/packages/core/src/calls/serving-configuration.ts
+++ b/packages/core/src/calls/serving-configuration.ts
@@ -32,7 +32,7 @@
 	readonly zonePrices: Readonly<Record<string, number>>;
 };
 
-/** Capacity of a model engine: concurrent calls (`places`) and tokens in its cache. */
+/** Capacity of a model engine: slots for concurrent calls (`places`) and tokens in its cache. */
 export type EngineCapacity = {
 	readonly places: number;
 	readonly cacheTokens: number;
--- a/packages/core/src/claims/claims.test.ts
+++ b/packages/core/src/claims/claims.test.ts
@@ -30,7 +30,7 @@
 	return state;
 };
 
-const judge = (state: ClaimState, claim: Claim, now = 0, gone: readonly string[] = []): ClaimDecision['kind'] =>
+const decide = (state: ClaimState, claim: Claim, now = 0, gone: readonly string[] = []): ClaimDecision['kind'] =>
 	decideClaim({
 		state, claim, now, logTime: now, isOwnerGone: owner => gone.includes(owner),
 	}).kind;
@@ -92,7 +92,7 @@
 	test(`a claim and a second call with its key: ${row.name}`, () => {
 		const state = applyAll(row.records);
 		assert.deepEqual(
-			{first: judge(state, first, row.now, row.gone), second: judge(state, second, row.now, row.gone)},
+			{first: decide(state, first, row.now, row.gone), second: decide(state, second, row.now, row.gone)},
 			{first: row.first, second: row.second},
 		);
 	});
@@ -100,7 +100,7 @@
 
 test('a different body with a used key is detected before the first call has an outcome', () => {
 	const state = applyAll([makeRecord(0, [first])]);
-	assert.equal(judge(state, makeClaim('3', 'k', 'other')), 'reused');
+	assert.equal(decide(state, makeClaim('3', 'k', 'other')), 'reused');
 });
 
 test('equal keys of different client accounts or services have different names', () => {
@@ -115,17 +115,17 @@
 	// The log trims records earlier than configured, and a new daemon starts. A key that it doesn't know
 	// may have been used, so running the call could execute it a second time.
 	const state = applyClaimTrim(makeClaimState(), 5 as LogOffset, 1000, 500);
-	assert.equal(judge(state, first, 1400), 'unsafe');
-	assert.equal(judge(state, first, 1500), 'absent');
+	assert.equal(decide(state, first, 1400), 'unsafe');
+	assert.equal(decide(state, first, 1500), 'absent');
 	const withKnownKey = applyClaimTrim(applyAll([makeRecord(0, [first])]), 1 as LogOffset, 1000, 500);
-	assert.equal(judge(withKnownKey, second, 1400), 'running');
+	assert.equal(decide(withKnownKey, second, 1400), 'running');
 });
 
 test('keys are deleted after the retention period and not before', () => {
 	const state = applyAll([makeRecord(0, [first]), makeRecord(1, [makeClaim('3', 'other')])]);
 	deleteExpiredKeys(state, 500, 500);
 	assert.equal(state.keys.size, 1);
-	assert.equal(judge(state, second, 500), 'absent');
+	assert.equal(decide(state, second, 500), 'absent');
 });
 
 test('for any log at most one claim of a key may be sent', () => {
@@ -146,7 +146,7 @@
 
 			state = applyClaimRecord(state, kind === 'claim' ? makeRecord(offset, [claim]) : makeRecord(offset, [], [makeOutcome(kind, claim)]));
 			for (const candidate of claims) {
-				if (judge(state, candidate) === 'won' && !declaredUnsent.has(candidate.id)) {
+				if (decide(state, candidate) === 'won' && !declaredUnsent.has(candidate.id)) {
 					winners.add(candidate.id);
 				}
 			}
--- a/packages/core/src/configuration/configuration-state.ts
+++ b/packages/core/src/configuration/configuration-state.ts
@@ -1,6 +1,6 @@
 /**
- * State of the configuration stream, computed by every daemon in the same way. Only the log order decides: a record is
- * accepted if and only if its base is the version that is in force when the record is applied.
+ * State of the configuration stream, which every daemon computes in the same way. A record is accepted if and only if its base is
+ * the version that is in force when the record is applied in log order.
  */
 import {configurationStreamRecordSchema, type ConfigurationRecord, type RestatementRecord} from '@shallotpass/common/log-records.js';
 import {type LogRecord} from '@shallotpass/common/log-service.js';
@@ -161,7 +161,7 @@
 	return record === undefined ? advanced : applyParsed(advanced, record, logRecord);
 };
 
-/** Notes that records before `earliest` were trimmed. If some of them were not read, opens a gap and keeps the accepted versions. */
+/** Handles a trim of the records before `earliest`. If some of them were not read, opens a gap and keeps the accepted versions. */
 export const applyTrim = (state: ConfigurationState, earliest: LogOffset): ConfigurationState => {
 	if (earliest <= state.foldedTo) {
 		return state;
--- a/packages/core/src/configuration/configuration.test.ts
+++ b/packages/core/src/configuration/configuration.test.ts
@@ -139,8 +139,8 @@
 
 test('the first member restates, and the others wait and see its restatement', () => {
 	const state = applyAll(emptyConfigurationState, [makeRecord(0, {team: 'default', base: -1})]);
-	const plan = (place: number, now: number) => planRestatements({
-		state, now, ageMs: 1000, memberIndex: place,
+	const plan = (index: number, now: number) => planRestatements({
+		state, now, ageMs: 1000, memberIndex: index,
 	}).length;
 	assert.deepEqual([plan(0, 999), plan(0, 1000), plan(1, 1000), plan(1, 40_000)], [0, 1, 0, 1]);
 	const [record] = planRestatements({
--- a/packages/core/src/configuration/types.ts
+++ b/packages/core/src/configuration/types.ts
@@ -25,7 +25,7 @@
 	readonly current: ConfigurationVersion;
 };
 
-/** A record that can't be evaluated yet, because its verdict depends on records that the log has trimmed. */
+/** A record that can't be evaluated yet, because the decision depends on records that the log has trimmed. */
 export type PendingRecord = {
 	readonly team: string;
 	readonly offset: LogOffset;
@@ -59,7 +59,7 @@
 export type ConfigurationOffer = {
 	readonly accepted: readonly AcceptedConfiguration[];
 	readonly foldedTo: LogOffset;
-	/** Recent verdicts, for a daemon that has not read the log itself. */
+	/** Recent decisions, for a daemon that has not read the log itself. */
 	readonly history: readonly HistoryEntry[];
 	/** Whether every team is included. False while the sender has a gap itself. */
 	readonly isComplete: boolean;
--- a/packages/core/src/directory/directory-state.ts
+++ b/packages/core/src/directory/directory-state.ts
@@ -9,14 +9,14 @@
 };
 
 export type ApplyContext = {
-	/** Monotonic clock in milliseconds. */
+	/** Current time on the steady clock, in milliseconds. */
 	readonly now: number;
 	/**
 	 * Until this time, on the same clock, entries may have expired because the store was down, not because their backend
 	 * servers ended. A backend server whose entry is removed before then stays in use until then. If it is alive, it has
 	 * written its entry again by that time.
 	 */
-	readonly lapsesUntil: number;
+	readonly expiryGraceUntil: number;
 };
 
 /** Whether an entry was written by an earlier incarnation than the known one, or earlier in the same incarnation. */
@@ -35,8 +35,8 @@
 		return;
 	}
 
-	if (context.now < context.lapsesUntil && !known.entry.isLeaving) {
-		backends.set(record.id, {...known, missingUntil: known.missingUntil ?? context.lapsesUntil});
+	if (context.now < context.expiryGraceUntil && !known.entry.isLeaving) {
+		backends.set(record.id, {...known, missingUntil: known.missingUntil ?? context.expiryGraceUntil});
 		return;
 	}
 
--- a/packages/core/src/directory/directory.test.ts
+++ b/packages/core/src/directory/directory.test.ts
@@ -12,7 +12,7 @@
 const makeEntryRecord = (offset: number, id: string, changes: Partial<BackendEntry> = {}): DirectoryRecord => ({offset, id, entry: makeEntry(id, changes)});
 const makeRemovalRecord = (offset: number, id: string): DirectoryRecord => ({offset, id, entry: undefined});
 
-const storeAvailable = {now: 5000, lapsesUntil: 0};
+const storeAvailable = {now: 5000, expiryGraceUntil: 0};
 
 const listIds = (directory: Directory): string[] => [...directory.backends.keys()];
 
@@ -27,9 +27,9 @@
 	// The store is down for longer than three heartbeats, so all entries expire although all backend
 	// servers are alive. If they were dropped, no call could be sent for a second or two.
 	const known = applyDirectoryRecords(emptyDirectory, [makeEntryRecord(0, 'x'), makeEntryRecord(1, 'y')], storeAvailable);
-	const expired = applyDirectoryRecords(known, [makeRemovalRecord(2, 'x'), makeRemovalRecord(3, 'y')], {now: 6000, lapsesUntil: 7700});
+	const expired = applyDirectoryRecords(known, [makeRemovalRecord(2, 'x'), makeRemovalRecord(3, 'y')], {now: 6000, expiryGraceUntil: 7700});
 	assert.deepEqual(listIds(expired), ['x', 'y']);
-	const rewritten = applyDirectoryRecords(expired, [makeEntryRecord(4, 'x', {sequence: 9})], {now: 7000, lapsesUntil: 7700});
+	const rewritten = applyDirectoryRecords(expired, [makeEntryRecord(4, 'x', {sequence: 9})], {now: 7000, expiryGraceUntil: 7700});
 	assert.deepEqual(listIds(dropExpired(rewritten, 7699)), ['y', 'x'].toSorted());
 	assert.deepEqual(listIds(dropExpired(rewritten, 7700)), ['x']);
 });
--- a/packages/core/src/directory/types.ts
+++ b/packages/core/src/directory/types.ts
@@ -7,10 +7,10 @@
 	/** IP address and port. */
 	readonly address: string;
 	readonly availabilityZone: string;
-	/** Number of calls that the backend server runs concurrently. */
+	/** Number of slots: calls that the backend server runs concurrently. */
 	readonly places: number;
 	readonly isLeaving: boolean;
-	/** Milliseconds until the backend server ends, if it has announced it. */
+	/** Milliseconds until the backend server shuts down, if it has announced that. */
 	readonly leavesInMs: number | undefined;
 	readonly isReclaimable: boolean;
 	/** Milliseconds since the epoch, or undefined if the entry doesn't contain it. */
@@ -23,7 +23,7 @@
 	readonly entry: BackendEntry;
 	/** Offset of the record that holds the entry. */
 	readonly offset: number;
-	/** End of the grace period of a missing entry that may only have expired, on the monotonic clock. Undefined if the entry isn't missing. */
+	/** End of the grace period of a missing entry that may only have expired, on the steady clock. Undefined if the entry isn't missing. */
 	readonly missingUntil: number | undefined;
 };
 
--- a/packages/core/src/duties/lease.test.ts
+++ b/packages/core/src/duties/lease.test.ts
@@ -6,7 +6,7 @@
 
 const leaseMs = 3000;
 
-test('the takeover wait starts when the lease was first learned of, not when its record is first read', () => {
+test('the takeover wait starts at the first report of the lease, not when its record is first read', () => {
 	const first = observeLease(undefined, {offset: 5, clockDisagreements: 0}, 1000);
 	// The holder has stopped, and its record is read from the store for the first time 1.2 s later.
 	const second = observeLease(first, {offset: 5, clockDisagreements: 0}, 2200);
--- a/packages/core/src/duties/lease.ts
+++ b/packages/core/src/duties/lease.ts
@@ -77,12 +77,12 @@
 	return due;
 };
 
-/** The lease record that a daemon observed last, and when. */
+/** The lease record that a daemon observed last, and the time of its first observation. */
 export type LeaseObservation = {
 	readonly offset: number;
-	/** When that record was first read or learned of by gossip, on the monotonic clock. */
+	/** When that record was first read or reported by gossip, on the steady clock. */
 	readonly seenAt: number;
-	/** How often the monotonic clock and the time of day had disagreed by then. An increase means that the instance was suspended or its time of day jumped. */
+	/** Number of disagreements between the steady clock and the time of day by then. An increase means that the instance was suspended or its time of day jumped. */
 	readonly clockDisagreements: number;
 };
 
@@ -106,7 +106,7 @@
 };
 
 /** Whether the lease has expired for a daemon that observes another holder. */
-export const canTakeLease = (watch: LeaseObservation, leaseMs: number, now: number): boolean => now >= watch.seenAt + leaseMs + takeoverMarginMs;
+export const canTakeLease = (observation: LeaseObservation, leaseMs: number, now: number): boolean => now >= observation.seenAt + leaseMs + takeoverMarginMs;
 
 /** Whether the holder may still call the cloud API after its last renewal. */
 export const canActOnLease = (renewedAt: number, leaseMs: number, now: number): boolean => now >= renewedAt && now < renewedAt + leaseMs - holderSafetyMarginMs;
--- a/packages/core/src/engines/engines.test.ts
+++ b/packages/core/src/engines/engines.test.ts
@@ -20,14 +20,14 @@
 	.filter(order => order.isReclaimable === isReclaimable && (zone === undefined || order.availabilityZone === zone))
 	.reduce((sum, order) => sum + order.count, 0);
 
-test('when reclaimable servers are available, only these are ordered, evenly and enough to survive two waves', () => {
+test('when reclaimable servers are available, only these are ordered, evenly and enough to survive two mass reclaims', () => {
 	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {onDemand: 0, starting: 4}));
 	const orders = plan(zones, 4);
 	assert.deepEqual([count(orders, false), count(orders, true)], [0, 12]);
 	assert.deepEqual(['a', 'b', 'c'].map(zone => count(orders, true, zone)), [4, 4, 4]);
 });
 
-test('only one wave is covered when reclaimable servers cost half of the full price', () => {
+test('only one mass reclaim is covered when reclaimable servers cost half of the full price', () => {
 	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {onDemand: 0, starting: 4}));
 	const orders = planBackends({
 		service: 'llm', bounds: {...bounds, reclaimablePrice: 0.5}, zones, needed: 4, assumed: 0, now: 1000,
@@ -35,7 +35,7 @@
 	assert.deepEqual([count(orders, false), count(orders, true)], [0, 6]);
 });
 
-test('the needed backend servers survive a reclaim wave in any zone', () => {
+test('the needed backend servers survive a mass reclaim in any zone', () => {
 	for (const names of [['a', 'b'], ['a', 'b', 'c'], ['a', 'b', 'c', 'd']]) {
 		for (let needed = 1; needed <= 8; needed++) {
 			// The ordered backend servers run now.
@@ -50,22 +50,22 @@
 	}
 });
 
-test('on-demand servers cover further waves while no reclaimable servers are available', () => {
+test('on-demand servers cover further mass reclaims while no reclaimable servers are available', () => {
 	const refused = {refusedUntil: 9000};
 	const afterOne = [makeZone('a', {onDemand: 0, reclaimable: 4, ...refused}), makeZone('b', {onDemand: 0, reclaimable: 4, ...refused}), makeZone('c', {onDemand: 0, ...refused})];
 	const orders = plan(afterOne, 4);
 	assert.equal(count(orders, true), 8);
-	// The next two waves would take all eight reclaimable servers.
+	// The next two mass reclaims would take all eight reclaimable servers.
 	assert.equal(count(orders, false), 4);
 	assert.equal(count(orders, false, 'c'), 4);
 });
 
-test('no on-demand servers are ordered for a second wave that leaves most zones running', () => {
+test('no on-demand servers are ordered for a second mass reclaim that leaves most zones running', () => {
 	const names = ['a', 'b', 'c', 'd', 'e'];
 	const zones = names.map((zone, index) => makeZone(zone, {onDemand: 0, reclaimable: index === 0 ? 0 : 4, refusedUntil: 9000}));
 	const orders = plan(zones, 14);
 	assert.equal(count(orders, true), 16);
-	// One wave takes four of the sixteen reclaimable servers, two take eight.
+	// One mass reclaim takes four of the sixteen reclaimable servers, two take eight.
 	assert.equal(count(orders, false), 2);
 });
 
@@ -90,7 +90,7 @@
 	assert.equal(count(plan(zones, 9), false), 9);
 });
 
-test('a new attempt to order reclaimable servers ends no running on-demand servers', () => {
+test('another order for reclaimable servers ends no running on-demand servers', () => {
 	const full = {a: 4, b: 3, c: 2};
 	const zones = Object.entries(full).map(([zone, running]) => makeZone(zone, {onDemand: running}));
 	const orders = plan(zones, 9);
@@ -109,7 +109,7 @@
 	const zones = ['a', 'b', 'c'].map(zone => makeZone(zone, {reclaimable: 2, refusedUntil: 9000}));
 	const orders = plan(zones, 9);
 	assert.deepEqual(['a', 'b', 'c'].map(zone => count(orders, true, zone)), [2, 2, 2]);
-	// Two of the six reclaimable servers are left after the next two waves.
+	// Two of the six reclaimable servers are left after the next two mass reclaims.
 	assert.equal(count(orders, false), 7);
 });
 
@@ -146,7 +146,7 @@
 	assert.equal(updateDemandEstimate(undefined, {...busy, tokensPerMs: 120}, 0).backends, 5);
 });
 
-test('the need follows the running calls when places are short and prompt processing is not', () => {
+test('the need follows the running calls when slots are short and prefill capacity is not', () => {
 	const fullyOccupied = {
 		...load, promptTokensPerSecond: 100_000, tokensPerMs: 200, running: 480, places: 16,
 	};
--- a/packages/core/src/engines/estimate-demand.ts
+++ b/packages/core/src/engines/estimate-demand.ts
@@ -1,10 +1,10 @@
 /** Estimates how many backend servers a service needs, from the observed load and the observed speed of a backend server. */
 
-/** Planned utilization of a backend server by prompt processing, when reclaim waves have left only as many as are needed. */
-const plannedReadingUtilization = 0.65;
+/** Planned utilization of a backend server by prefill when mass reclaims have left only as many servers as are needed. */
+const plannedPrefillUtilization = 0.65;
 
-/** Planned mean utilization of a backend server's places. A call that finds all places taken waits until a whole answer is complete. */
-const plannedPlaceUtilization = 0.6;
+/** Planned mean utilization of a backend server's slots. A call that finds all slots in use waits until a whole answer is complete. */
+const plannedSlotUtilization = 0.6;
 
 /**
  * Time constant with which the estimate decays after a peak, as a multiple of the boot time. A backend server that
@@ -40,15 +40,15 @@
 };
 
 export type LoadSample = {
-	/** Prompt tokens per second that callers send and no cache holds. */
+	/** Prompt tokens per second that callers send and that are not cached. */
 	readonly promptTokensPerSecond: number;
 	/** Calls that are running or queued at backend servers. */
 	readonly running: number;
 	/** Backend servers that are running. */
 	readonly present: number;
-	/** Mean prompt processing speed of a backend server. */
+	/** Mean prefill speed of a backend server. */
 	readonly tokensPerMs: number;
-	/** Calls that a backend server runs concurrently. */
+	/** Slots of a backend server: calls that it runs concurrently. */
 	readonly places: number;
 	/** Time that a backend server takes to start, in milliseconds. */
 	readonly bootMs: number;
@@ -56,8 +56,8 @@
 
 /** Computes the number of backend servers that keeps both utilizations at their planned values. */
 const countNeeded = (sample: LoadSample): number => {
-	const neededForPrompts = sample.promptTokensPerSecond / (sample.tokensPerMs * 1000 * plannedReadingUtilization);
-	const neededForCalls = sample.running / (sample.places * plannedPlaceUtilization);
+	const neededForPrompts = sample.promptTokensPerSecond / (sample.tokensPerMs * 1000 * plannedPrefillUtilization);
+	const neededForCalls = sample.running / (sample.places * plannedSlotUtilization);
 	return Math.max(neededForPrompts, neededForCalls);
 };
 
@@ -65,20 +65,20 @@
  * Updates the estimate with a sample. It follows a rise at once and a fall slowly. The backend servers that run when a
  * daemon begins to plan are assumed to be sufficient, so they are kept until the load has been known for some seconds.
  */
-export const updateDemandEstimate = (need: DemandEstimate | undefined, sample: LoadSample, now: number): DemandEstimate => {
+export const updateDemandEstimate = (previous: DemandEstimate | undefined, sample: LoadSample, now: number): DemandEstimate => {
 	if (sample.promptTokensPerSecond === 0) {
-		return {backends: need?.backends ?? 0, assumed: Math.max(need?.assumed ?? 0, sample.present), at: now};
+		return {backends: previous?.backends ?? 0, assumed: Math.max(previous?.assumed ?? 0, sample.present), at: now};
 	}
 
 	const needed = countNeeded(sample);
-	if (need === undefined) {
+	if (previous === undefined) {
 		return {backends: needed, assumed: sample.present, at: now};
 	}
 
-	const elapsedMs = Math.max(0, now - need.at);
+	const elapsedMs = Math.max(0, now - previous.at);
 	return {
-		backends: Math.max(needed, need.backends * Math.exp(-elapsedMs / peakDecayBoots / sample.bootMs)),
-		assumed: need.assumed * Math.exp(-elapsedMs / assumedDecayMs),
+		backends: Math.max(needed, previous.backends * Math.exp(-elapsedMs / peakDecayBoots / sample.bootMs)),
+		assumed: previous.assumed * Math.exp(-elapsedMs / assumedDecayMs),
 		at: now,
 	};
 };
--- a/packages/core/src/engines/plan-backends.ts
+++ b/packages/core/src/engines/plan-backends.ts
@@ -1,9 +1,9 @@
 /**
  * Plans how many backend servers of a service to order, by availability zone, reclaimable or on-demand.
  *
- * Reclaimable servers cost a fifth of the full price or less, but a reclaim wave takes all of a zone at once with a notice
+ * Reclaimable servers cost a fifth of the full price or less, but a mass reclaim takes all of a zone at once with a notice
  * of 2 s, and new ones are unavailable there for many seconds afterwards. The plan spreads reclaimable servers evenly over
- * the zones and orders enough that the needed number survives the waves, as long as that costs less than the full price.
+ * the zones and orders enough that the needed number survives the mass reclaims, as long as that costs less than the full price.
  * The rest is ordered on-demand, and released only when reclaimable servers that run have replaced it. Zones are kept equal
  * in size because a zone that is cut off has to serve its own callers.
  */
@@ -18,7 +18,7 @@
 	readonly reclaimable: number;
 	/** Reclaimable backend servers that were ordered and may still be starting. */
 	readonly starting: number;
-	/** Until when the zone is treated as having no reclaimable capacity after a refusal, on the monotonic clock. */
+	/** Until when the zone is treated as having no reclaimable capacity after a refusal, on the steady clock. */
 	readonly refusedUntil: number;
 };
 
@@ -28,19 +28,19 @@
 	readonly zones: readonly ZoneFleet[];
 	/** Number of backend servers of mean speed that the load needs. */
 	readonly needed: number;
-	/** Number that is assumed to be sufficient while the load is unknown. It has no reserve for waves and starts no on-demand servers. */
+	/** Number that is assumed to be sufficient while the load is unknown. It has no reserve for mass reclaims and starts no on-demand servers. */
 	readonly assumed: number;
 	readonly now: number;
 };
 
-/** Maximum number of reclaim waves to plan for: a second wave may follow before reclaimable servers are available again. */
-const maxWaves = 2;
+/** Maximum number of mass reclaims to plan for: a second one may follow before reclaimable servers are available again. */
+const maxMassReclaims = 2;
 
-/** Returns for how many of the covered waves on-demand backend servers are started while no reclaimable servers are available. */
-export type CountOnDemandWaves = (waves: number, zones: number) => number;
+/** Returns for how many of the covered mass reclaims on-demand backend servers are started while no reclaimable servers are available. */
+export type CountOnDemandMassReclaims = (massReclaims: number, zones: number) => number;
 
-/** Covers the second wave only if two waves leave less than half of the zones. Otherwise the remaining zones serve most calls until replacements run. */
-export const countOnDemandWaves: CountOnDemandWaves = (waves, zones) => zones - waves < zones / 2 ? waves : Math.min(waves, 1);
+/** Covers the second mass reclaim only if two of them leave less than half of the zones. Otherwise the remaining zones serve most calls until replacements run. */
+export const countOnDemandMassReclaims: CountOnDemandMassReclaims = (massReclaims, zones) => zones - massReclaims < zones / 2 ? massReclaims : Math.min(massReclaims, 1);
 
 type Counts = Map<string, number>;
 
@@ -48,9 +48,9 @@
 	/** Zones in the order that breaks ties. */
 	readonly zones: readonly ZoneFleet[];
 	readonly count: number;
-	/** Counts that zones have been assigned already. */
+	/** Numbers that are already assigned to zones. */
 	readonly start?: Counts;
-	/** Backend servers of the other kind in a zone, which count towards its level. */
+	/** Backend servers of the other kind in a zone, which are counted when the zones are compared. */
 	readonly getOthers: (zone: ZoneFleet) => number;
 	/** Maximum count for a zone. */
 	readonly getMaximum: (zone: ZoneFleet) => number;
@@ -103,72 +103,72 @@
 	readonly needed: number;
 	/** Maximum number of backend servers in a zone. */
 	readonly maxPerZone: number;
-	/** Number of waves that the needed backend servers must survive. */
-	readonly waves: number;
-	/** Number of waves for which on-demand backend servers are ordered. */
-	readonly onDemandWaves: number;
+	/** Number of mass reclaims that the needed backend servers must survive. */
+	readonly massReclaims: number;
+	/** Number of mass reclaims for which on-demand backend servers are ordered. */
+	readonly onDemandMassReclaims: number;
 	/** See `PlanInput`. */
 	readonly assumed: number;
 };
 
-/** Counts the reclaimable servers that are left when each wave takes all of the zone that has the most. */
-const countLeftAfterWaves = (zones: readonly ZoneFleet[], count: (zone: ZoneFleet) => number, waves: number): number => {
+/** Counts the reclaimable servers that are left when each mass reclaim takes all of the zone that has the most. */
+const countLeftAfterMassReclaims = (zones: readonly ZoneFleet[], count: (zone: ZoneFleet) => number, massReclaims: number): number => {
 	const counts = zones.map(zone => count(zone)).toSorted((left, right) => right - left);
 	let left = 0;
-	for (const running of counts.slice(waves)) {
+	for (const running of counts.slice(massReclaims)) {
 		left += running;
 	}
 
 	return left;
 };
 
-/** Counts the waves that evenly spread reclaimable servers can cover at a cost below the full price. */
-const countCoveredWaves = (price: number, zones: number): number => {
-	let waves = 0;
-	while (waves < Math.min(maxWaves, zones - 1) && price * zones / (zones - waves - 1) < 1) {
-		waves++;
+/** Counts the mass reclaims that evenly spread reclaimable servers can cover at a cost below the full price. */
+const countCoveredMassReclaims = (price: number, zones: number): number => {
+	let massReclaims = 0;
+	while (massReclaims < Math.min(maxMassReclaims, zones - 1) && price * zones / (zones - massReclaims - 1) < 1) {
+		massReclaims++;
 	}
 
-	return waves;
+	return massReclaims;
 };
 
-/** Counts the reclaimable servers to order so that `needed` are left after the given waves. */
-const countForWaves = (needed: number, waves: number, zones: number): number => Math.ceil(needed * zones / (zones - waves));
+/** Counts the reclaimable servers to order so that `needed` are left after the given number of mass reclaims. */
+const countForMassReclaims = (needed: number, massReclaims: number, zones: number): number => Math.ceil(needed * zones / (zones - massReclaims));
 
 /** Plans the reclaimable servers. Zones without available capacity keep those that run, because a smaller order would end them. */
-const planReclaimable = ({zones, needed, assumed, maxPerZone, waves}: PlanContext, now: number): Counts => {
+const planReclaimable = ({zones, needed, assumed, maxPerZone, massReclaims}: PlanContext, now: number): Counts => {
 	const availableZones = zones.filter(zone => now >= zone.refusedUntil);
 	const refusedZones = zones.filter(zone => now < zone.refusedUntil);
 	const kept = new Map(refusedZones.map(zone => [zone.availabilityZone, Math.min(zone.reclaimable, maxPerZone)]));
-	const total = Math.max(countForWaves(needed, waves, zones.length), assumed);
+	const total = Math.max(countForMassReclaims(needed, massReclaims, zones.length), assumed);
 	const remaining = total - sumOverZones(refusedZones, zone => kept.get(zone.availabilityZone) ?? 0);
 	const requested = keepRunningAndFill(availableZones, remaining, {getRunning: zone => zone.reclaimable + zone.starting, getOthers: () => 0, getMaximum: () => maxPerZone});
 	return new Map([...kept, ...requested]);
 };
 
 /**
- * Plans the on-demand servers: the number that is missing after the next waves have taken reclaimable servers that run or
- * start. On-demand servers that run are released only when reclaimable servers run in their place, because another order
+ * Plans the on-demand servers: the number that is missing after the next mass reclaims have taken reclaimable servers that run or
+ * start. On-demand servers that run are released only when reclaimable servers that run replace them, because another order
  * for reclaimable servers may be refused.
  */
-const planOnDemand = ({zones, needed, assumed, maxPerZone, onDemandWaves}: PlanContext, reclaimable: Counts): Counts => {
+const planOnDemand = ({zones, needed, assumed, maxPerZone, onDemandMassReclaims}: PlanContext, reclaimable: Counts): Counts => {
 	const getPlanned = (zone: ZoneFleet): number => reclaimable.get(zone.availabilityZone) ?? 0;
 	const getRunningOrStarting = (zone: ZoneFleet): number => Math.min(getPlanned(zone), zone.reclaimable + zone.starting);
 	const getRunning = (zone: ZoneFleet): number => Math.min(getPlanned(zone), zone.reclaimable);
 	const getOnDemand = (zone: ZoneFleet): number => zone.onDemand;
-	const neededNow = Math.max(needed - countLeftAfterWaves(zones, getRunning, onDemandWaves), assumed - sumOverZones(zones, getRunningOrStarting));
+	const neededNow = Math.max(needed - countLeftAfterMassReclaims(zones, getRunning, onDemandMassReclaims), assumed - sumOverZones(zones, getRunningOrStarting));
 	const kept = Math.min(sumOverZones(zones, getOnDemand), neededNow);
-	const missing = needed - countLeftAfterWaves(zones, getRunningOrStarting, onDemandWaves);
+	const missing = needed - countLeftAfterMassReclaims(zones, getRunningOrStarting, onDemandMassReclaims);
 	return keepRunningAndFill(zones, Math.max(kept, missing), {getRunning: getOnDemand, getOthers: zone => zone.reclaimable, getMaximum: zone => maxPerZone - zone.reclaimable});
 };
 
 /** Plans the orders of a service, at most `bounds.most` per zone. Cheaper zones are preferred where zones are otherwise equal. */
-export const planBackends = (input: PlanInput, countWaves: CountOnDemandWaves = countOnDemandWaves): BackendOrder[] => {
+export const planBackends = (input: PlanInput, countMassReclaims: CountOnDemandMassReclaims = countOnDemandMassReclaims): BackendOrder[] => {
 	const {bounds, service, now} = input;
 	const zones = input.zones.toSorted((left, right) => getPrice(bounds, left) - getPrice(bounds, right));
-	const waves = countCoveredWaves(bounds.reclaimablePrice ?? 1, zones.length);
+	const massReclaims = countCoveredMassReclaims(bounds.reclaimablePrice ?? 1, zones.length);
 	const context: PlanContext = {
-		zones, needed: input.needed, assumed: Math.max(1, input.assumed), maxPerZone: bounds.most, waves, onDemandWaves: countWaves(waves, zones.length),
+		zones, needed: input.needed, assumed: Math.max(1, input.assumed), maxPerZone: bounds.most, massReclaims, onDemandMassReclaims: countMassReclaims(massReclaims, zones.length),
 	};
 	const isOffered = bounds.reclaimablePrice !== undefined;
 	const reclaimable: Counts = isOffered ? planReclaimable(context, now) : new Map<string, number>();
--- a/packages/core/src/engines/work-rate.ts
+++ b/packages/core/src/engines/work-rate.ts
@@ -1,4 +1,4 @@
-/** Smoothed rate of prompt tokens that backend servers had to process. */
+/** Smoothed rate of prompt tokens that backend servers have to prefill. */
 
 export type WorkRate = {
 	/** Moving average in tokens per second, too low until several time constants have passed since the first tokens. */
--- a/packages/core/src/fleet/fleet-state.ts
+++ b/packages/core/src/fleet/fleet-state.ts
@@ -8,7 +8,7 @@
 import {type LogOffset} from '@shallotpass/common/types.js';
 import {type FleetLease, type FleetState} from './types.js';
 
-/** Longest lease, counted from the log's time. Without this limit a holder whose clock is ahead could keep the lease forever. */
+/** Maximum duration of a lease, counted from the log's time of the record. Without this limit a holder whose clock is ahead could keep the lease forever. */
 export const maxLeaseMs = 60_000;
 
 /** Number of closed orders that are kept, so that an instance that appears late is recognized and ended. */
--- a/packages/core/src/fleet/fleet.test.ts
+++ b/packages/core/src/fleet/fleet.test.ts
@@ -97,7 +97,7 @@
 });
 const listStartedClasses = (changes: Partial<FleetView>): string[] => plan(makeView(changes)).starts.map(offer => `${offer.machineClass}${offer.isReclaimable ? '' : ' on demand'}`);
 
-test('most places come from the machine class with the lowest price per place, the last few from a class that fits them', () => {
+test('most slots come from the machine class with the lowest price per slot, the last few from a class that fits them', () => {
 	assert.deepEqual(listStartedClasses({demandPlaces: 48}), ['big', 'small']);
 	assert.deepEqual(listStartedClasses({demandPlaces: 5}), ['small']);
 	assert.deepEqual(listStartedClasses({demandPlaces: 48, fixedPlaces: 50}), []);
@@ -109,7 +109,7 @@
 	assert.deepEqual(listStartedClasses({demandPlaces: 5, refusals, now: 100}), ['small']);
 });
 
-test('a plan never both starts and ends instances, and always keeps the needed places', () => {
+test('a plan never both starts and ends instances, and always keeps the needed slots', () => {
 	const instance = fc.record({index: fc.nat(2), isLeaving: fc.boolean()});
 	fc.assert(fc.property(fc.array(instance, {maxLength: 12}), fc.nat(200), (generated, demandPlaces) => {
 		const instances = generated.map(({index, isLeaving}, number) => ({
@@ -117,8 +117,8 @@
 		}));
 		const {starts, ends} = plan(makeView({instances, demandPlaces}));
 		assert.ok(starts.length === 0 || ends.length === 0);
-		const countPlaces = (list: ReadonlyArray<{readonly places?: number}>): number => list.reduce((sum, item) => sum + (item.places ?? 0), 0);
-		const left = countPlaces(instances.filter(item => !item.isLeaving && !ends.some(end => end.id === item.id))) + countPlaces(starts);
+		const countSlots = (list: ReadonlyArray<{readonly places?: number}>): number => list.reduce((sum, item) => sum + (item.places ?? 0), 0);
+		const left = countSlots(instances.filter(item => !item.isLeaving && !ends.some(end => end.id === item.id))) + countSlots(starts);
 		assert.ok(left >= demandPlaces, `${left} of ${demandPlaces}`);
 	}), {seed: 7});
 });
--- a/packages/core/src/fleet/plan-fleet.ts
+++ b/packages/core/src/fleet/plan-fleet.ts
@@ -1,17 +1,17 @@
-/** Plans how many instances of each offer to run: enough places for the expected load, at the lowest price, spread over zones. */
+/** Plans how many instances of each offer to run: enough slots for the expected load, at the lowest price, spread over zones. */
 import {
 	makeOfferKey, type FleetInstance, type FleetPlan, type FleetView, type Offer, type OfferName, type FleetPlanner,
 } from './types.js';
 
 export type PlanOptions = {
-	/** Factor by which the planned places exceed the needed ones. */
+	/** Factor by which the planned slots exceed the needed ones. */
 	readonly headroom: number;
 	/**
-	 * Reserve for random peaks, multiplied by the square root of the needed places: the load of a small fleet varies
+	 * Reserve for random peaks, multiplied by the square root of the needed slots: the load of a small fleet varies
 	 * more in proportion than that of a large one.
 	 */
 	readonly peakReserve: number;
-	/** Minimum number of places, independent of the demand. */
+	/** Minimum number of slots, independent of the demand. */
 	readonly minPlaces: number;
 	/** Minimum runtime of an instance before it is ended, in milliseconds, because its start was billed. */
 	readonly minRuntimeMs: number;
@@ -20,10 +20,10 @@
 /** Instances are ended only above this multiple of the target. Without it a fleet at its target would alternate between starting and ending instances. */
 const surplusFactor = 1.15;
 
-/** Price surcharge for a zone that holds all places, in proportion to a zone's share, so that most places survive the failure of a zone. */
+/** Price surcharge for a zone that holds all slots. Other zones are surcharged in proportion to their share, so that most slots survive the failure of a zone. */
 const concentrationSurcharge = 0.4;
 
-/** Price surcharge for reclaimable offers: the mean cost of places that are missing while a replacement starts. */
+/** Price surcharge for reclaimable offers: the mean cost of slots that are missing while a replacement starts. */
 const reclaimSurcharge = 0.1;
 
 /** An on-demand instance is replaced by a reclaimable one that costs less than this fraction of it. */
@@ -42,7 +42,7 @@
 	return {...name, places: offer?.places ?? 0, creditsPerHour: offer?.creditsPerHour ?? 0};
 };
 
-const sumPlaces = (items: ReadonlyArray<{readonly places: number}>): number => {
+const sumSlots = (items: ReadonlyArray<{readonly places: number}>): number => {
 	let sum = 0;
 	for (const {places} of items) {
 		sum += places;
@@ -51,20 +51,20 @@
 	return sum;
 };
 
-/** Computes the price of one place, with the surcharges for zone concentration and for reclaimable offers. */
+/** Computes the price of one slot, with the surcharges for zone concentration and for reclaimable offers. */
 const computeWeightedPrice = (offer: PlannedCapacity, capacity: readonly PlannedCapacity[]): number => {
-	const totalPlaces = sumPlaces(capacity);
-	const zonePlaces = sumPlaces(capacity.filter(item => item.availabilityZone === offer.availabilityZone));
-	const zoneShare = totalPlaces === 0 ? 0 : zonePlaces / totalPlaces;
+	const totalSlots = sumSlots(capacity);
+	const zoneSlots = sumSlots(capacity.filter(item => item.availabilityZone === offer.availabilityZone));
+	const zoneShare = totalSlots === 0 ? 0 : zoneSlots / totalSlots;
 	return offer.creditsPerHour / offer.places * (1 + (zoneShare * concentrationSurcharge) + (offer.isReclaimable ? reclaimSurcharge : 0));
 };
 
-/** Picks the offer with the lowest price per place that is still missing. */
+/** Picks the offer with the lowest price per slot that is still missing. */
 const pickOffer = (offers: readonly Offer[], capacity: readonly PlannedCapacity[], missing: number): Offer | undefined => {
 	let best: Offer | undefined;
 	let bestCost = Number.POSITIVE_INFINITY;
 	for (const offer of offers) {
-		// Places beyond the missing ones have no use but are billed.
+		// Slots beyond the missing ones have no use but are billed.
 		const cost = computeWeightedPrice(offer, capacity) * offer.places / Math.min(offer.places, missing);
 		if (cost < bestCost) {
 			best = offer;
@@ -123,15 +123,15 @@
 
 /** Makes a planner that starts instances below the target, ends some above it, and otherwise replaces on-demand instances. */
 export const makeFleetPlanner = (options: PlanOptions): FleetPlanner => (view): FleetPlan => {
-	const targetPlaces = Math.max(options.minPlaces, (view.demandPlaces * options.headroom) + (options.peakReserve * Math.sqrt(view.demandPlaces)));
+	const targetSlots = Math.max(options.minPlaces, (view.demandPlaces * options.headroom) + (options.peakReserve * Math.sqrt(view.demandPlaces)));
 	const capacity = [...view.instances.filter(instance => !instance.isLeaving), ...view.openOrders].map(item => makePlannedCapacity(view.offers, item));
-	const currentPlaces = view.fixedPlaces + sumPlaces(capacity);
+	const currentSlots = view.fixedPlaces + sumSlots(capacity);
 	const refused = new Set(view.refusals.filter(refusal => refusal.until > view.now).map(refusal => refusal.offer));
 	const openOffers = view.offers.filter(offer => offer.places > 0 && !refused.has(makeOfferKey(offer)));
-	if (currentPlaces < targetPlaces) {
-		return {starts: chooseStarts(openOffers, capacity, targetPlaces - currentPlaces), ends: []};
+	if (currentSlots < targetSlots) {
+		return {starts: chooseStarts(openOffers, capacity, targetSlots - currentSlots), ends: []};
 	}
 
-	const ends = chooseEnds(view, options, currentPlaces - (targetPlaces * surplusFactor));
+	const ends = chooseEnds(view, options, currentSlots - (targetSlots * surplusFactor));
 	return {starts: ends.length > 0 ? [] : chooseReplacement(view, openOffers, capacity), ends};
 };
--- a/packages/core/src/fleet/record-refusal.ts
+++ b/packages/core/src/fleet/record-refusal.ts
@@ -1,7 +1,7 @@
 /** Exponential backoff for instance starts that the cloud refuses, so that many refusals at once don't cause a burst of retries. */
 import {makeOfferKey, type OfferName, type Refusal} from './types.js';
 
-/** Refusals that lengthen the wait; further ones leave it unchanged. */
+/** Maximum number of refusals that lengthen the wait. Further ones leave it unchanged. */
 const maxCountedRefusals = 6;
 
 type RefusalOptions = {
@@ -14,7 +14,7 @@
 	readonly random: () => number;
 };
 
-/** Earlier refusals are forgotten when this multiple of the next wait has passed since the end of the last one. */
+/** Earlier refusals are no longer counted when this multiple of the next wait has passed since the end of the last one. */
 const resetAfterWaits = 4;
 
 /** Returns the refusal to record for an offer, with the end of its wait. */
--- a/packages/core/src/fleet/smooth-demand.ts
+++ b/packages/core/src/fleet/smooth-demand.ts
@@ -1,9 +1,9 @@
-/** Smooths the demand that the fleet is sized for. It follows a rise at once and a fall slowly, and is forecast over the time that a start takes. */
+/** Smooths the demand that the fleet is sized for. The smoothed demand follows a rise at once and a fall slowly. It is forecast over the time that an instance takes to start. */
 
 export type SmoothedDemand = {
-	/** Smoothed demand in places. */
+	/** Smoothed demand in slots. */
 	readonly level: number;
-	/** Smoothed rate of change, in places per millisecond. */
+	/** Smoothed rate of change, in slots per millisecond. */
 	readonly slope: number;
 	readonly at: number;
 };
@@ -15,18 +15,18 @@
 	readonly slopeMs: number;
 };
 
-/** Updates the smoothed demand with the places that are needed now. */
-export const smoothDemand = (previous: SmoothedDemand | undefined, places: number, now: number, options: SmoothingOptions): SmoothedDemand => {
+/** Updates the smoothed demand with the number of slots that are needed now. */
+export const smoothDemand = (previous: SmoothedDemand | undefined, neededSlots: number, now: number, options: SmoothingOptions): SmoothedDemand => {
 	if (previous === undefined || now <= previous.at) {
-		return {level: places, slope: previous?.slope ?? 0, at: now};
+		return {level: neededSlots, slope: previous?.slope ?? 0, at: now};
 	}
 
 	const elapsedMs = now - previous.at;
-	const decayed = previous.level + ((places - previous.level) * (1 - Math.exp(-elapsedMs / options.fallMs)));
-	const level = Math.max(places, decayed);
+	const decayed = previous.level + ((neededSlots - previous.level) * (1 - Math.exp(-elapsedMs / options.fallMs)));
+	const level = Math.max(neededSlots, decayed);
 	const weight = 1 - Math.exp(-elapsedMs / options.slopeMs);
 	return {level, slope: previous.slope + ((((level - previous.level) / elapsedMs) - previous.slope) * weight), at: now};
 };
 
-/** Returns the places that will be needed when an instance that is ordered now is ready. */
+/** Returns the number of slots that will be needed when an instance that is ordered now is ready. */
 export const forecastDemand = ({level, slope}: SmoothedDemand, startMs: number): number => level + Math.max(0, slope * startMs);
--- a/packages/core/src/fleet/types.ts
+++ b/packages/core/src/fleet/types.ts
@@ -1,4 +1,4 @@
-/** Input and output of fleet planning. Capacity is counted in places: calls that run concurrently within their latency targets. */
+/** Input and output of fleet planning. Capacity is counted in slots (`places`): calls that run concurrently within their latency targets. */
 import {type LogOffset} from '@shallotpass/common/types.js';
 
 /** A type of instance that the cloud offers. */
@@ -65,9 +65,9 @@
 	readonly instances: readonly FleetInstance[];
 	/** Orders whose instance has not appeared yet. */
 	readonly openOrders: readonly FleetOrder[];
-	/** Places of backend servers that were not started by an order. */
+	/** Slots of backend servers that were not started by an order. */
 	readonly fixedPlaces: number;
-	/** Places that the expected load needs. */
+	/** Slots that the expected load needs. */
 	readonly demandPlaces: number;
 	readonly refusals: readonly Refusal[];
 };
--- a/packages/core/src/gossip/gossip-report.ts
+++ b/packages/core/src/gossip/gossip-report.ts
@@ -35,7 +35,7 @@
 	linkMbps: z.number(),
 	/** Number of daemons that the report covers. */
 	daemons: z.int(),
-	/** Number of daemons in zones that stopped reporting. They may still be admitting calls that nobody else counts. */
+	/** Number of daemons in zones that stopped reporting. They may still admit calls that no other daemon counts. */
 	silentDaemons: z.int().default(0),
 	/** Store data held by the sender, which in a sum is the relay. */
 	known: storeVersions,
@@ -43,17 +43,17 @@
 	demands: amounts,
 	/** Cost units admitted in each slot of the rate limit window, newest first, by client account. */
 	spent: z.record(z.string(), z.array(z.number())),
-	/** Load by backend id: running calls, pending prompt tokens by rank, then the measured prompt processing as tokens and milliseconds. */
+	/** Load by backend id: running calls, pending prompt tokens by rank, then the measured prefill as tokens and milliseconds. */
 	loads: z.record(z.string(), z.array(z.number())),
 	/** Calls started, by window, source and client account. A source is a daemon's incarnation, or `zone:` and a zone for the sum of its daemons. */
 	usage: z.record(z.string(), z.record(z.string(), amounts)),
-	/** Prompt tokens to process per second, by service. */
+	/** Prompt tokens to prefill per second, by service. */
 	work: amounts,
 	/** Offset of the lease record that a daemon holds, or -1. */
 	leaseOffset: z.number(),
-	/** The sender's true time, which daemons keep in step with each other, in milliseconds since the epoch. */
+	/** The sender's true time, which daemons synchronize with each other, in milliseconds since the epoch. */
 	trueTime: z.number(),
-	/** Incarnations of backend servers that ended while they ran a request, by the request's digest. */
+	/** Incarnations of backend servers that crashed while they ran a request, by the request's digest. */
 	crashes: z.record(z.string(), z.array(z.string())),
 });
 
--- a/packages/core/src/gossip/store-role.test.ts
+++ b/packages/core/src/gossip/store-role.test.ts
@@ -9,7 +9,7 @@
 	id: `d${index}`, address: `10.0.0.${index}:7500`, availabilityZone: `zone-${index % 5}`, linkMbps: 10, ...changes,
 });
 
-const listRoles = (members: readonly GossipMember[]) => members.map(self => computeStoreRole({self, heard: members.filter(member => member !== self), relays: []}));
+const listRoles = (members: readonly GossipMember[]) => members.map(self => computeStoreRole({self, reporting: members.filter(member => member !== self), relays: []}));
 
 for (const daemons of [1, 2, 9]) {
 	test(`one of ${daemons} connected daemons reads the store, and all others ask it first`, () => {
@@ -38,13 +38,13 @@
 	assert.equal(after[remaining.indexOf(standby)]!.rank, 0);
 });
 
-test('a daemon that hears no others reads the store itself instead of waiting for an unreachable reader', () => {
-	assert.equal(computeStoreRole({self: makeMember(0), heard: [], relays: []}).rank, 0);
+test('a daemon that receives no reports reads the store itself instead of waiting for an unreachable reader', () => {
+	assert.equal(computeStoreRole({self: makeMember(0), reporting: [], relays: []}).rank, 0);
 });
 
-test('a daemon that uses relays asks them and is the last to read the store or look for the lease', () => {
+test('a daemon that uses relays asks them and is the last to read the store or look up the lease', () => {
 	const relays = [makeMember(1), makeMember(2)];
-	const role = computeStoreRole({self: makeMember(0), heard: [makeMember(3)], relays});
+	const role = computeStoreRole({self: makeMember(0), reporting: [makeMember(3)], relays});
 	assert.deepEqual(role.sources, relays.map(({address}) => address));
 	const standby = {rank: 1, sources: []};
 	assert.ok(getStaleMarginMs(role) > getStaleMarginMs({rank: 2, sources: []}));
--- a/packages/core/src/gossip/store-role.ts
+++ b/packages/core/src/gossip/store-role.ts
@@ -1,7 +1,7 @@
 /**
  * Decides which daemon reads the platform's store for all. Calls to the store are billed and every daemon needs the
  * same data, so one daemon reads it and the others ask that daemon or their zone's relay. A daemon whose data becomes
- * stale reads the store itself, so a wrong choice costs extra calls but no correctness.
+ * stale reads the store itself, so a wrong choice causes extra calls but no incorrect results.
  */
 import {type GossipMember, rankByBandwidth} from './pick-relays.js';
 
@@ -25,17 +25,17 @@
 	/** This daemon. */
 	readonly self: GossipMember;
 	/** Daemons with recent reports that may read for all: all daemons, or one relay per zone. */
-	readonly heard: readonly GossipMember[];
+	readonly reporting: readonly GossipMember[];
 	/** Relays of the daemon's own zone, or empty if it doesn't use relays. */
 	readonly relays: readonly GossipMember[];
 };
 
-export const computeStoreRole = ({self, heard, relays}: RoleInput): StoreRole => {
+export const computeStoreRole = ({self, reporting, relays}: RoleInput): StoreRole => {
 	if (relays.length > 0) {
 		return {rank: Infinity, sources: relays.map(({address}) => address)};
 	}
 
-	const ranked = rankByBandwidth(readerKey, [self, ...heard]).map(({address}) => address);
+	const ranked = rankByBandwidth(readerKey, [self, ...reporting]).map(({address}) => address);
 	return {
 		rank: ranked.indexOf(self.address),
 		sources: ranked.filter(address => address !== self.address).slice(0, maxSources),
--- a/packages/core/src/membership/membership.test.ts
+++ b/packages/core/src/membership/membership.test.ts
@@ -81,7 +81,7 @@
 	});
 	fc.assert(fc.property(fc.array(update, {maxLength: 12}), fc.infiniteStream(fc.double({min: 0, max: 1, noNaN: true})), (changes, orders) => {
 		const updates = changes.map(change => makeUpdate(change.id, change));
-		// Both members are known to be alive at first, because the death of an unknown member is ignored.
+		// Both members are known to be alive at first, because a dead status of an unknown member is ignored.
 		const base = makeState('a', 'b');
 		const shuffled = updates.map(item => ({item, order: orders.next().value as number})).toSorted((left, right) => left.order - right.order).map(entry => entry.item);
 		const views = [updates, shuffled].map(list => [...applyUpdates(base, list, 0, options).members.values()]
@@ -125,7 +125,7 @@
 });
 
 test('a failure is sent before older updates that are still being sent', () => {
-	// Many instances start at once, as after a reclaim wave, and one of them fails meanwhile. If the update
+	// Many instances start at once, as after a mass reclaim, and one of them fails meanwhile. If the update
 	// about it waited behind those about new members, requests would be routed to it for many seconds.
 	let state = makeState(...Array.from({length: 60}, (_value, index) => `m${index}`));
 	for (let index = 0; index < 20; index++) {
--- a/packages/core/src/placement/choose-backend.ts
+++ b/packages/core/src/placement/choose-backend.ts
@@ -10,7 +10,7 @@
 	readonly rank: number;
 	readonly promptTokens: number;
 	readonly isStream: boolean;
-	/** Whether the call ends if its backend server is lost, because it cannot continue on another one. */
+	/** Whether the call fails if its backend server is lost, because it cannot continue on another one. */
 	readonly isPinned: boolean;
 };
 
--- a/packages/core/src/placement/types.ts
+++ b/packages/core/src/placement/types.ts
@@ -1,4 +1,4 @@
-/** Estimated state of a backend server that a daemon uses to place a call. */
+/** Estimated state of a backend server that a daemon uses to choose one for a call. */
 import {type LatencyModel} from './engine-latency.js';
 
 export type Load = {
@@ -12,6 +12,7 @@
 	readonly id: string;
 	/** Whether the backend server is in a different availability zone than this daemon. */
 	readonly isInOtherZone: boolean;
+	/** Number of slots: calls that the backend server runs concurrently. */
 	readonly places: number;
 	readonly isReclaimable: boolean;
 	/** Prefill speed and fixed latency, estimated from measured answers. */
--- a/packages/core/src/quotas/account-budget.ts
+++ b/packages/core/src/quotas/account-budget.ts
@@ -53,11 +53,11 @@
 
 /** Computes this daemon's share of the remaining budget. */
 export const computeShare = (input: ShareInput): number => {
-	const floor = minShareFactor / Math.max(1, input.daemons);
+	const minShare = minShareFactor / Math.max(1, input.daemons);
 	const total = input.ownDemand + sum(input.otherDemands);
 	const measured = total > 0 ? input.ownDemand / total : 1 / Math.max(1, input.daemons);
 	// The measured part is reduced by the minimum shares of all daemons, so that the shares sum to 1.
-	return floor + (measured * (1 - minShareFactor));
+	return minShare + (measured * (1 - minShareFactor));
 };
 
 /**
--- a/packages/core/src/quotas/quotas.test.ts
+++ b/packages/core/src/quotas/quotas.test.ts
@@ -55,7 +55,7 @@
 const sumAdmitted = (calls: readonly SimulatedCall[], from: number, to: number): number =>
 	calls.reduce((sum, {at, cost, isAdmitted}) => sum + (isAdmitted && at >= from && at < to ? cost : 0), 0);
 
-const nineDaemons: Omit<LimitSimulation, 'random' | 'getAsked'> = {
+const nineDaemons: Omit<LimitSimulation, 'random' | 'getRequestedRate'> = {
 	daemons: 9, limit, bounds, gossipIntervalMs: 300, gossipDelayMs: 400, meanCost: 4000, durationMs: 30_000,
 };
 
@@ -68,7 +68,7 @@
 			for (const seed of seeds) {
 				const random = makeRandom(seed);
 				const calls = simulateLimit({
-					...nineDaemons, ...gossipTiming, daemons, random, getAsked: now => now < 6000 ? 40_000 : 100_000 * times,
+					...nineDaemons, ...gossipTiming, daemons, random, getRequestedRate: now => now < 6000 ? 40_000 : 100_000 * times,
 				});
 				const maxSpent = computeMaxInWindow(calls);
 				assert.ok(maxSpent <= ceiling, `${daemons} daemons, ${times} times, seed ${seed}: ${Math.round(maxSpent)} of ${ceiling}`);
@@ -82,7 +82,7 @@
 
 test('admits all calls of an account that stays below its limit', () => {
 	for (const seed of seeds) {
-		const calls = simulateLimit({...nineDaemons, random: makeRandom(seed), getAsked: () => 95_000});
+		const calls = simulateLimit({...nineDaemons, random: makeRandom(seed), getRequestedRate: () => 95_000});
 		assert.equal(calls.filter(call => !call.isAdmitted).length, 0, `seed ${seed}`);
 	}
 });
@@ -91,7 +91,7 @@
 	const requested = {small: 0, refused: 0};
 	for (const seed of seeds) {
 		const calls = simulateLimit({
-			...nineDaemons, random: makeRandom(seed), smallCallFraction: 0.3, getAsked: () => 500_000,
+			...nineDaemons, random: makeRandom(seed), smallCallFraction: 0.3, getRequestedRate: () => 500_000,
 		});
 		const maxSpent = computeMaxInWindow(calls);
 		assert.ok(maxSpent <= ceiling, `seed ${seed}: ${Math.round(maxSpent)} of ${ceiling}`);
@@ -108,7 +108,7 @@
 	const requested = [0, 0, 0];
 	for (const seed of seeds) {
 		const calls = simulateLimit({
-			...nineDaemons, random: makeRandom(seed), lessUrgentFraction: 0.3, getAsked: () => 250_000,
+			...nineDaemons, random: makeRandom(seed), lessUrgentFraction: 0.3, getRequestedRate: () => 250_000,
 		});
 		for (const call of calls.filter(({at}) => at > 8000)) {
 			requested[call.rank]! += call.cost;
@@ -125,7 +125,7 @@
 	let total = 0;
 	for (const seed of seeds) {
 		const calls = simulateLimit({
-			...nineDaemons, random: makeRandom(seed), getAsked: () => 250_000, stopsAt: 13_000,
+			...nineDaemons, random: makeRandom(seed), getRequestedRate: () => 250_000, stopsAt: 13_000,
 		});
 		const maxSpent = computeMaxInWindow(calls);
 		assert.ok(maxSpent <= ceiling, `seed ${seed}: ${Math.round(maxSpent)} of ${ceiling}`);
--- a/packages/core/src/retries/crash-register.ts
+++ b/packages/core/src/retries/crash-register.ts
@@ -4,7 +4,7 @@
  */
 
 export type CrashRegister = {
-	/** Digest → incarnations of backend servers that ended while running the request. */
+	/** Digest → incarnations of backend servers that crashed while running the request. */
 	readonly crashedIncarnations: ReadonlyMap<string, readonly string[]>;
 	/** Digest → expiry time, on the steady clock. */
 	readonly forgetAt: ReadonlyMap<string, number>;
--- a/packages/core/src/retries/suspects.test.ts
+++ b/packages/core/src/retries/suspects.test.ts
@@ -2,30 +2,30 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import {
-	expireSuspects, hasPassedDeathPosition, mergeSuspects, recordDeath, type Suspect, type SuspectState,
+	expireSuspects, hasPassedCrashPosition, mergeSuspects, markSuspects, type Suspect, type SuspectState,
 } from './suspects.js';
 
 const empty: SuspectState = new Map();
 
-type Death = {readonly backendId: string; readonly tokens?: number; readonly wasAnnounced?: boolean; readonly zoneDeaths?: number};
+type Crash = {readonly backendId: string; readonly tokens?: number; readonly wasAnnounced?: boolean; readonly zoneCrashes?: number};
 
-const recordTestDeath = (state: SuspectState, {backendId, tokens = 0, wasAnnounced = false, zoneDeaths = 1}: Death): SuspectState => recordDeath({
-	state, backendId, inFlight: [{fingerprint: 'f', tokens}], zoneDeaths, wasAnnounced, now: 0,
+const markTestSuspects = (state: SuspectState, {backendId, tokens = 0, wasAnnounced = false, zoneCrashes = 1}: Crash): SuspectState => markSuspects({
+	state, backendId, inFlight: [{fingerprint: 'f', tokens}], zoneCrashes, wasAnnounced, now: 0,
 });
 
-const cases: ReadonlyArray<{readonly name: string; readonly deaths: readonly Death[]; readonly isConvicted: boolean | undefined}> = [
+const cases: ReadonlyArray<{readonly name: string; readonly deaths: readonly Crash[]; readonly isConvicted: boolean | undefined}> = [
 	{name: 'one crash makes a request a suspect but does not convict it', deaths: [{backendId: 'a'}], isConvicted: false},
 	{name: 'a crash that is reported twice counts once', deaths: [{backendId: 'a'}, {backendId: 'a'}], isConvicted: false},
 	{name: 'the crash of a second backend server convicts', deaths: [{backendId: 'a'}, {backendId: 'b'}], isConvicted: true},
 	{name: 'an announced shutdown is ignored', deaths: [{backendId: 'a', wasAnnounced: true}], isConvicted: undefined},
-	{name: 'a mass reclaim in one zone is ignored', deaths: [{backendId: 'a', zoneDeaths: 3}], isConvicted: undefined},
+	{name: 'a mass reclaim in one zone is ignored', deaths: [{backendId: 'a', zoneCrashes: 3}], isConvicted: undefined},
 ];
 
 for (const {name, deaths, isConvicted} of cases) {
 	test(name, () => {
 		let state = empty;
 		for (const death of deaths) {
-			state = recordTestDeath(state, death);
+			state = markTestSuspects(state, death);
 		}
 
 		assert.equal(state.get('f')?.isConvicted, isConvicted);
@@ -35,10 +35,10 @@
 test('a request that crashes engines late in its answer is not cleared by the first tokens', () => {
 	// The engine crashed at token 100. If the first tokens of a resend cleared the request, it
 	// would crash further engines at the same token.
-	const state = recordTestDeath(empty, {backendId: 'a', tokens: 100});
+	const state = markTestSuspects(empty, {backendId: 'a', tokens: 100});
 	const suspect = state.get('f');
-	assert.deepEqual([8, 100, 107, 108].map(tokens => hasPassedDeathPosition(suspect, tokens)), [false, false, false, true]);
-	assert.equal(hasPassedDeathPosition(undefined, 8), true);
+	assert.deepEqual([8, 100, 107, 108].map(tokens => hasPassedCrashPosition(suspect, tokens)), [false, false, false, true]);
+	assert.equal(hasPassedCrashPosition(undefined, 8), true);
 });
 
 test('daemons that receive crash reports in any order reach the same state', () => {
@@ -60,7 +60,7 @@
 });
 
 test('a suspect expires at its stored time', () => {
-	const state = recordTestDeath(empty, {backendId: 'a'});
+	const state = markTestSuspects(empty, {backendId: 'a'});
 	const {forgetAt} = state.get('f')!;
 	assert.equal(expireSuspects(state, forgetAt - 1).size, 1);
 	assert.equal(expireSuspects(state, forgetAt).size, 0);
--- a/packages/core/src/retries/suspects.ts
+++ b/packages/core/src/retries/suspects.ts
@@ -1,6 +1,6 @@
 /**
  * Requests that were in flight when a backend server crashed without notice. One of them may be
- * the cause: it is run again isolated from other suspects, and is convicted if that backend server
+ * the cause: each is run again isolated from other suspects, and is convicted if that backend server
  * crashes too.
  */
 
@@ -9,7 +9,7 @@
 	/** Ids of the backend servers that crashed while running the request. */
 	readonly deaths: readonly string[];
 	readonly isConvicted: boolean;
-	/** Highest token position of an answer at a crash, which may be where the crash is triggered. */
+	/** Highest number of answer tokens received before a crash. The request may trigger the crash at this position. */
 	readonly tokens: number;
 	/** Expiry time. */
 	readonly forgetAt: number;
@@ -24,12 +24,12 @@
 	readonly tokens: number;
 };
 
-type DeathOptions = {
+type CrashOptions = {
 	readonly state: SuspectState;
 	readonly backendId: string;
 	readonly inFlight: readonly InFlight[];
 	/** Number of recent crashes in the same availability zone, including this one. */
-	readonly zoneDeaths: number;
+	readonly zoneCrashes: number;
 	readonly wasAnnounced: boolean;
 	readonly now: number;
 };
@@ -37,18 +37,18 @@
 const retentionMs = 60 * 60 * 1000;
 
 /** Number of crashed backend servers after which a request is convicted. */
-const deathsToConvict = 2;
+const crashesToConvict = 2;
 
 /** This many crashes in one availability zone within the window are treated as a mass reclaim, not as caused by requests. */
-const massReclaimDeaths = 3;
+const massReclaimCrashes = 3;
 
 /** Time window in which crashes of one availability zone are counted. */
 export const massReclaimWindowMs = 2000;
 
 /** Marks all requests in flight at a crash as suspects. Returns the updated state. */
-export const recordDeath = (options: DeathOptions): SuspectState => {
-	const {state, backendId, inFlight, zoneDeaths, wasAnnounced, now} = options;
-	if (wasAnnounced || zoneDeaths >= massReclaimDeaths) {
+export const markSuspects = (options: CrashOptions): SuspectState => {
+	const {state, backendId, inFlight, zoneCrashes, wasAnnounced, now} = options;
+	if (wasAnnounced || zoneCrashes >= massReclaimCrashes) {
 		return state;
 	}
 
@@ -59,7 +59,7 @@
 		next.set(fingerprint, {
 			fingerprint,
 			deaths,
-			isConvicted: deaths.length >= deathsToConvict,
+			isConvicted: deaths.length >= crashesToConvict,
 			tokens: Math.max(known?.tokens ?? 0, tokens),
 			forgetAt: now + retentionMs,
 		});
@@ -77,7 +77,7 @@
 		next.set(other.fingerprint, {
 			fingerprint: other.fingerprint,
 			deaths,
-			isConvicted: deaths.length >= deathsToConvict,
+			isConvicted: deaths.length >= crashesToConvict,
 			tokens: Math.max(known?.tokens ?? 0, other.tokens),
 			forgetAt: Math.max(known?.forgetAt ?? 0, other.forgetAt),
 		});
@@ -93,7 +93,7 @@
 const tokensUntilCleared = 8;
 
 /** Whether the answer of an isolated suspect has progressed far enough to clear it. */
-export const hasPassedDeathPosition = (suspect: Suspect | undefined, tokens: number): boolean =>
+export const hasPassedCrashPosition = (suspect: Suspect | undefined, tokens: number): boolean =>
 	tokens >= (suspect?.tokens ?? 0) + tokensUntilCleared;
 
 export const removeSuspect = (state: SuspectState, fingerprint: string): SuspectState => {
--- a/packages/core/src/routing/list-candidates.ts
+++ b/packages/core/src/routing/list-candidates.ts
@@ -1,6 +1,6 @@
 import {type BackendView, type RoutedCall} from './types.js';
 
-/** Whether the backend server serves the call's service, is not leaving and was not tried for the call yet. */
+/** Whether the backend server serves the call's service, is not leaving and is not excluded because of an earlier attempt. */
 export const isCandidate = (call: RoutedCall, backend: BackendView): boolean =>
 	!backend.isLeaving && !call.excluded.has(backend.id) && backend.services.includes(call.service);
 
--- a/packages/core/src/routing/routing.test.ts
+++ b/packages/core/src/routing/routing.test.ts
@@ -33,7 +33,7 @@
 
 const makeBackends = (count: number): BackendView[] => Array.from({length: count}, (_value, index) => makeBackend(`b${index}`));
 
-test('no policy chooses a backend server that is leaving, was tried or does not serve the service', () => {
+test('no policy chooses a backend server that is leaving, excluded or does not serve the service', () => {
 	const backends = [makeBackend('leaving', {isLeaving: true}), makeBackend('tried'), makeBackend('other', {services: ['else']}), makeBackend('right')];
 	for (const policy of [chooseLowestCost, chooseLeastRequests, choosePowerOfTwo, choosePrefixAffinity, makeRoundRobin()]) {
 		const call = makeCall({excluded: new Set(['tried']), chain: [5n]});
--- a/packages/core/src/routing/types.ts
+++ b/packages/core/src/routing/types.ts
@@ -68,7 +68,7 @@
 	readonly availabilityZone: string;
 	/** Latency target of the call's class; undefined if the class has none. */
 	readonly target: LatencyTarget | undefined;
-	/** Ids of the backend servers that were tried for this call. */
+	/** Ids of the backend servers to which this call was sent. */
 	readonly excluded: ReadonlySet<string>;
 };
 
--- a/packages/core/src/testing/simulate-limit.ts
+++ b/packages/core/src/testing/simulate-limit.ts
@@ -20,7 +20,7 @@
 	/** Time until all daemons know a report, in milliseconds. */
 	readonly gossipDelayMs: number;
 	/** Returns the requested cost units per second at a time. */
-	readonly getAsked: (now: number) => number;
+	readonly getRequestedRate: (now: number) => number;
 	/** Mean cost of a call. Costs are exponentially distributed, up to five times the mean. */
 	readonly meanCost: number;
 	/** Fraction of the calls that cost only `smallCost`. */
@@ -51,7 +51,7 @@
 /** Interval at which the lease holder writes the spending of all daemons. */
 const writeIntervalMs = 900;
 
-/** Longest time in which spending isn't written yet. The record predicts the spending that far ahead. */
+/** Maximum time until spending is written. The record predicts the spending that far ahead. */
 const maxUnwrittenMs = 1200;
 
 /** Time from the stop of all daemons to their restart. */
@@ -130,16 +130,16 @@
 		const rank = random() < (simulation.lessUrgentFraction ?? 0) ? lessUrgentRank : 0;
 		daemon.bucket = recordDemand(daemon.bucket, cost, now);
 		const view = viewSpending(daemon, {cost, rank}, now);
-		const verdict = takeFromBucket(daemon.bucket, {
+		const decision = takeFromBucket(daemon.bucket, {
 			cost, now, isUnrestricted: hasBudget(view, cost), refill: computeBucketRefill(view), random,
 		});
-		daemon.bucket = verdict.bucket;
-		if (verdict.isAdmitted) {
+		daemon.bucket = decision.bucket;
+		if (decision.isAdmitted) {
 			recordSpent(daemon.spending, cost, now);
 		}
 
 		calls.push({
-			at: now, cost, rank, isAdmitted: verdict.isAdmitted,
+			at: now, cost, rank, isAdmitted: decision.isAdmitted,
 		});
 	};
 
@@ -159,7 +159,7 @@
 		}
 
 		writeRecord(now);
-		const chance = simulation.getAsked(now) / simulation.meanCost / 100;
+		const chance = simulation.getRequestedRate(now) / simulation.meanCost / 100;
 		for (let left = chance; left > 0; left--) {
 			if (random() < left) {
 				makeCall(now);
--- a/packages/gateway/src/peers/gossip.ts
+++ b/packages/gateway/src/peers/gossip.ts
@@ -118,10 +118,10 @@
 	const handleAggregate = (report: GossipReport): void => {
 		relayMonitor.recordReport(report.address);
 		if (isZoneSum(report) && report.availabilityZone !== ownZone) {
-			const heard = toPeerReport(report);
-			zoneSums.set(report.incarnation, heard);
+			const zoneSum = toPeerReport(report);
+			zoneSums.set(report.incarnation, zoneSum);
 			if (isActiveRelay) {
-				recordPeer(heard);
+				recordPeer(zoneSum);
 			}
 		}
 
@@ -153,8 +153,8 @@
 		}
 
 		if (isActive) {
-			for (const heard of zoneSums.values()) {
-				recordPeer(heard);
+			for (const zoneSum of zoneSums.values()) {
+				recordPeer(zoneSum);
 			}
 		}
 	};
@@ -338,13 +338,13 @@
 
 	const determineStoreRole = (): StoreRole => {
 		const since = now() - readerTimeoutMs;
-		const heard = [...gateway.peers.values()].filter(peer => peer.heardAt >= since);
+		const reporting = [...gateway.peers.values()].filter(peer => peer.heardAt >= since);
 		if (!needsRelays(members.size)) {
-			return computeStoreRole({self, heard, relays: []});
+			return computeStoreRole({self, reporting, relays: []});
 		}
 
 		const relays = isActiveRelay ? [] : pickRelays(members.values(), ownZone, relayMonitor.isSkipped).filter(({address}) => address !== self.address);
-		return computeStoreRole({self, heard: heard.filter(peer => peer.availabilityZone !== ownZone), relays});
+		return computeStoreRole({self, reporting: reporting.filter(peer => peer.availabilityZone !== ownZone), relays});
 	};
 
 	let role = determineStoreRole();
--- a/packages/gateway/src/store/follow-directory.ts
+++ b/packages/gateway/src/store/follow-directory.ts
@@ -56,7 +56,7 @@
 	let digest = digestDirectory(directory);
 	let isStoreUnavailable = false;
 	/** Until this time, entries may be missing only because of an outage of the store. */
-	let lapsesUntil = 0;
+	let expiryGraceUntil = 0;
 	/** When this daemon's directory was last confirmed to be up to date, and when that of any peer was. */
 	let freshAt = Number.NEGATIVE_INFINITY;
 	let peerFreshAt = Number.NEGATIVE_INFINITY;
@@ -81,7 +81,7 @@
 		gateway.directoryReadAt ??= now();
 	};
 
-	const makeFoldContext = () => ({now: now(), lapsesUntil});
+	const makeApplyContext = () => ({now: now(), expiryGraceUntil});
 	const timer = setInterval(() => {
 		const dropped = dropExpired(directory, now());
 		if (!isStoreUnavailable && dropped !== directory) {
@@ -102,10 +102,10 @@
 		signal,
 		handlers: {
 			onListing(records, end) {
-				replaceDirectory(applyListing(directory, records.map(record => toRecord(record)), end, makeFoldContext()));
+				replaceDirectory(applyListing(directory, records.map(record => toRecord(record)), end, makeApplyContext()));
 			},
 			onRecords(records) {
-				replaceDirectory(applyDirectoryRecords(directory, records.map(record => toRecord(record)), makeFoldContext()));
+				replaceDirectory(applyDirectoryRecords(directory, records.map(record => toRecord(record)), makeApplyContext()));
 			},
 			onResponse() {
 				const wasStale = Number.isFinite(freshAt) && now() > freshAt + peerFreshMs;
@@ -115,12 +115,12 @@
 					// If the store was available to other daemons, entries did not expire because of an outage:
 					// a removed backend server has really left and must get no more calls.
 					const wasAwayForAll = now() > peerFreshAt + peerFreshMs;
-					lapsesUntil = wasAwayForAll ? now() + entryRewriteMs : 0;
+					expiryGraceUntil = wasAwayForAll ? now() + entryRewriteMs : 0;
 					gateway.log.write('state', 'store_regained', {topic: 'directory', wasAwayForAll});
 				}
 			},
 			onFailure(reason) {
-				lapsesUntil = now() + entryRewriteMs;
+				expiryGraceUntil = now() + entryRewriteMs;
 				if (!isStoreUnavailable && !signal.aborted) {
 					isStoreUnavailable = true;
 					gateway.log.write('state', 'store_lost', {topic: 'directory', reason});
--- a/packages/tasks/src/suspect-registry.ts
+++ b/packages/tasks/src/suspect-registry.ts
@@ -6,7 +6,7 @@
 import {isAnswering} from '@shallotpass/backends/engine-load.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {
-	expireSuspects, removeSuspect, mergeSuspects, recordDeath, massReclaimWindowMs, type InFlight, type Suspect, type SuspectState,
+	expireSuspects, removeSuspect, mergeSuspects, markSuspects, massReclaimWindowMs, type InFlight, type Suspect, type SuspectState,
 } from '@shallotpass/core/retries/suspects.js';
 import {type BackendRegistry} from './backend-registry.js';
 import {type Environment} from './environment.js';
@@ -86,11 +86,11 @@
 		deaths.push({availabilityZone: view.availabilityZone, at: clock.now()});
 		await clock.waitUntil(addMilliseconds(clock.now(), waveDetectionMs), signal);
 		const before = state;
-		setState(recordDeath({
+		setState(markSuspects({
 			state,
 			backendId,
 			inFlight,
-			zoneDeaths: countZoneDeaths(view.availabilityZone),
+			zoneCrashes: countZoneDeaths(view.availabilityZone),
 			wasAnnounced: registry.isLeaving(backendId),
 			now: clock.now(),
 		}));
