--- a/packages/core/src/retries/repeat-allowance.ts
+++ b/packages/core/src/retries/repeat-allowance.ts
@@ -1,24 +1,24 @@
 /**
- * Limits repeated attempts across all daemons. Within a window, each daemon repeats at most a
+ * Limits retries across all daemons. Within a window, each daemon retries at most a
  * fraction of the calls that it received, plus its part of a fixed slack. All daemons together
  * thus stay within the limit without exchanging messages.
  */
 
-export type RepeatAllowance = {
+export type RetryAllowance = {
 	/** Times of the received calls, oldest first, on the steady clock. */
 	readonly calls: number[];
-	/** Times of the repeated attempts, oldest first, on the steady clock. */
-	readonly repeats: number[];
+	/** Times of the retries, oldest first, on the steady clock. */
+	readonly retries: number[];
 };
 
-export type RepeatLimit = {
+export type RetryLimit = {
 	readonly ratio: number;
 	readonly slack: number;
 	readonly windowMs: number;
 	readonly daemons: number;
 };
 
-export const makeRepeatAllowance = (): RepeatAllowance => ({calls: [], repeats: []});
+export const makeRetryAllowance = (): RetryAllowance => ({calls: [], retries: []});
 
 /** Share of the ratio and the slack that is used. The rest is for daemons that are not known yet. */
 const usedShare = 0.7;
@@ -28,7 +28,7 @@
 	timestamps.splice(0, firstKept === -1 ? timestamps.length : firstKept);
 };
 
-export const recordCall = (allowance: RepeatAllowance, limit: RepeatLimit, now: number): void => {
+export const recordCall = (allowance: RetryAllowance, limit: RetryLimit, now: number): void => {
 	allowance.calls.push(now);
 	// Scanning the list on every call would cost as much as the call itself.
 	if (allowance.calls.length % 64 === 0) {
@@ -36,15 +36,15 @@
 	}
 };
 
-/** Takes one repeat from the allowance. Returns false if none is left in the window. */
-export const takeRepeat = (allowance: RepeatAllowance, limit: RepeatLimit, now: number): boolean => {
+/** Takes one retry from the allowance. Returns false if none is left in the window. */
+export const takeFromRetryAllowance = (allowance: RetryAllowance, limit: RetryLimit, now: number): boolean => {
 	dropExpired(allowance.calls, now - limit.windowMs);
-	dropExpired(allowance.repeats, now - limit.windowMs);
-	const maxRepeats = (limit.ratio * allowance.calls.length * usedShare) + (limit.slack * usedShare / Math.max(1, limit.daemons));
-	if (allowance.repeats.length + 1 > maxRepeats) {
+	dropExpired(allowance.retries, now - limit.windowMs);
+	const maxRetries = (limit.ratio * allowance.calls.length * usedShare) + (limit.slack * usedShare / Math.max(1, limit.daemons));
+	if (allowance.retries.length + 1 > maxRetries) {
 		return false;
 	}
 
-	allowance.repeats.push(now);
+	allowance.retries.push(now);
 	return true;
 };
--- a/packages/gateway/src/calls/backend-exchange.test.ts
+++ b/packages/gateway/src/calls/backend-exchange.test.ts
@@ -83,8 +83,8 @@
 });
 
 test('a call whose connection is closed after the request was read is reported as unknown', async () => {
-	// Guards against running a call twice: the backend server terminates while it runs the call, and a
-	// caller who is told that it did not run would send it again.
+	// Guards against running a call twice: the backend server crashes while it runs the call, and a
+	// caller that receives a response saying that it did not run would send it again.
 	const backend = await openBackend(socket => {
 		socket.destroy();
 	});
--- a/packages/gateway/src/calls/backend-registry.ts
+++ b/packages/gateway/src/calls/backend-registry.ts
@@ -27,13 +27,13 @@
 	/** The same for the other daemons, as last reported. */
 	othersRunning: number;
 	othersPendingTokens: number[];
-	/** Prompt processing as measured by this daemon, and as reported by the others. */
-	reading: PrefillRecord;
-	othersReading: PrefillSample;
+	/** Prefill as measured by this daemon, and as reported by the others. */
+	prefill: PrefillRecord;
+	othersPrefill: PrefillSample;
 	/** Average duration of plain calls. */
 	plainMs: number;
-	/** Share of recent calls that failed, 0 to 1. */
-	failureShare: number;
+	/** Fraction of recent calls that failed, from 0 to 1. */
+	failureRate: number;
 	/** No call is sent to it before this time on the steady clock. */
 	suspendedUntil: number;
 	/** Consecutive failed connection attempts. */
@@ -60,11 +60,11 @@
 	readonly byId: Map<string, BackendState>;
 	/** Ready backend servers by service. */
 	readonly byService: Map<string, BackendState[]>;
-	/** Average speed of the backend servers by service, also assumed for new ones. */
-	readonly paces: Map<string, LatencyModel>;
+	/** Latency model by service, also assumed for new backend servers. */
+	readonly latencyModels: Map<string, LatencyModel>;
 };
 
-export const makeBackendRegistry = (): BackendRegistry => ({byId: new Map(), byService: new Map(), paces: new Map()});
+export const makeBackendRegistry = (): BackendRegistry => ({byId: new Map(), byService: new Map(), latencyModels: new Map()});
 
 const makeBackendState = (entry: BackendEntry, now: number): BackendState => ({
 	entry,
@@ -75,10 +75,10 @@
 	pendingTokens: Array.from<number>({length: trackedRankCount}).fill(0),
 	othersRunning: 0,
 	othersPendingTokens: Array.from<number>({length: trackedRankCount}).fill(0),
-	reading: emptyPrefillRecord,
-	othersReading: emptyPrefillSample,
+	prefill: emptyPrefillRecord,
+	othersPrefill: emptyPrefillSample,
 	plainMs: initialPlainMs,
-	failureShare: 0,
+	failureRate: 0,
 	suspendedUntil: 0,
 	failedConnects: 0,
 	lastReadAt: now,
@@ -101,7 +101,7 @@
 
 type DepartureTimes = {
 	readonly now: number;
-	/** How long a leaving backend server still serves calls if its entry does not say. */
+	/** How long a leaving backend server still serves calls if its entry does not state it. */
 	readonly drainMs: number;
 };
 
@@ -124,7 +124,7 @@
 		if (listed === undefined || formatIncarnation(listed.entry) !== state.incarnation) {
 			state.isGone = true;
 			if (listed === undefined) {
-				// It may still serve its running calls until the drain time has passed.
+				// The backend server may still serve its running calls until the drain time has passed.
 				markLeaving(state, times);
 			}
 
@@ -177,10 +177,10 @@
 	return oldestSentAt === undefined ? 0 : now - Math.max(oldestSentAt, state.lastReadAt);
 };
 
-/** Speed of a backend server, computed from the measurements of all daemons and the average of its service. */
-export const getBackendPace = (registry: BackendRegistry, state: BackendState, now: number): LatencyModel => {
-	const pace = registry.paces.get(state.entry.service) ?? defaultLatencyModel;
-	return {...pace, tokensPerMs: computeEngineSpeed([decayPrefillRecord(state.reading, now), state.othersReading], pace)};
+/** Returns the latency model of a backend server, computed from the measurements of all daemons and the model of its service. */
+export const getLatencyModel = (registry: BackendRegistry, state: BackendState, now: number): LatencyModel => {
+	const latencyModel = registry.latencyModels.get(state.entry.service) ?? defaultLatencyModel;
+	return {...latencyModel, tokensPerMs: computeEngineSpeed([decayPrefillRecord(state.prefill, now), state.othersPrefill], latencyModel)};
 };
 
 /** Whether this daemon sends its calls to backend servers of its own availability zone only, for all services alike. */
@@ -194,11 +194,11 @@
 };
 
 export type BackendViewOptions = {
-	readonly pace: LatencyModel;
+	readonly latencyModel: LatencyModel;
 	/** Estimated number of the call's prompt tokens that the backend server has cached. */
 	readonly cachedTokens: number;
-	/** Penalty that spreads calls over the backend servers. */
-	readonly detourMs: number;
+	/** Penalty from the call's own order of backend servers, which spreads calls, in milliseconds. */
+	readonly spreadPenaltyMs: number;
 	/** Maximum number of concurrent calls of this daemon. */
 	readonly maxOwnCalls: number;
 	readonly ownZone: string;
@@ -208,18 +208,18 @@
 
 const toLoad = (running: number, pendingTokens: readonly number[]): Load => ({running, pendingTokens});
 
-export const toBackendView = (state: BackendState, {pace, cachedTokens, detourMs, maxOwnCalls, ownZone, now}: BackendViewOptions): BackendView => ({
+export const toBackendView = (state: BackendState, {latencyModel, cachedTokens, spreadPenaltyMs, maxOwnCalls, ownZone, now}: BackendViewOptions): BackendView => ({
 	id: state.entry.id,
 	isInOtherZone: state.entry.availabilityZone !== ownZone,
 	places: state.entry.places,
 	isReclaimable: state.entry.isReclaimable,
-	latencyModel: pace,
+	latencyModel,
 	plainMs: state.plainMs,
 	own: toLoad(state.running, state.pendingTokens),
 	others: toLoad(state.othersRunning, state.othersPendingTokens),
-	failureRate: state.failureShare,
+	failureRate: state.failureRate,
 	isAtConnectionLimit: state.running >= maxOwnCalls,
 	cachedTokens,
-	spreadPenaltyMs: detourMs,
+	spreadPenaltyMs,
 	silentMs: computeSilenceMs(state, now),
 });
--- a/packages/gateway/src/calls/call-attempts.ts
+++ b/packages/gateway/src/calls/call-attempts.ts
@@ -2,27 +2,27 @@
 import type http from 'node:http';
 import {computeRetryAfter} from '@shallotpass/core/admission/compute-retry-after.js';
 import {type Call, isRepeatable} from '@shallotpass/core/calls/types.js';
-import {takeRepeat} from '@shallotpass/core/retries/repeat-allowance.js';
+import {takeFromRetryAllowance} from '@shallotpass/core/retries/repeat-allowance.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type AdmittedCall, type CallContext} from './admit-call.js';
-import {getBackendPace} from './backend-registry.js';
+import {getLatencyModel} from './backend-registry.js';
 import {type Placement, placeCall} from './place-call.js';
 import {type Refusal} from './refusal.js';
 import {getRetryAllowance, getRetryLimit} from './retry-limits.js';
 import {type Attempt, type AttemptResult, runAtBackend} from './run-at-backend.js';
 
-/** Maximum number of backend servers that one call is sent to. Each refusal costs a round trip. */
-const maxOffers = 6;
+/** Maximum number of attempts of one call, including those that backend servers refuse. Each refusal costs a round trip. */
+const maxAttemptsPerCall = 6;
 
 export const isDraining = (gateway: GatewayState): boolean => gateway.drainingSince !== undefined;
 
 /** Progress of one call over its attempts. */
 export type CallProgress = {
-	readonly triedIncarnations: Set<string>;
-	/** Number of backend servers that may have run the call. */
+	readonly attemptedIncarnations: Set<string>;
+	/** Number of attempts that may have run the call. */
 	possibleRuns: number;
-	/** Number of backend servers that the call was sent to. */
-	offers: number;
+	/** Number of attempts: backend servers that the call was sent to. */
+	attempts: number;
 	/** Whether the call has reached a backend server. */
 	hasArrived: boolean;
 	lastFailure: string;
@@ -42,7 +42,7 @@
 
 /** Whether a further attempt is allowed. Takes a retry from the limit if the call has reached a backend server. */
 export const takeRetry = (gateway: GatewayState, call: Call, progress: CallProgress): boolean => {
-	if (progress.offers >= maxOffers) {
+	if (progress.attempts >= maxAttemptsPerCall) {
 		return false;
 	}
 
@@ -50,7 +50,7 @@
 		return false;
 	}
 
-	return !progress.hasArrived || takeRepeat(getRetryAllowance(gateway, call.service), getRetryLimit(gateway), gateway.clocks.steady());
+	return !progress.hasArrived || takeFromRetryAllowance(getRetryAllowance(gateway, call.service), getRetryLimit(gateway), gateway.clocks.steady());
 };
 
 export type SendResult =
@@ -71,14 +71,14 @@
 
 /** Sends the call to the best backend server that it has not been sent to yet. */
 export const sendToBestBackend = async (context: CallContext, admitted: AdmittedCall, progress: CallProgress, signal: AbortSignal): Promise<SendResult> => {
-	const placement = placeCall(context.gateway, admitted.call, {triedIncarnations: progress.triedIncarnations});
+	const placement = placeCall(context.gateway, admitted.call, {attemptedIncarnations: progress.attemptedIncarnations});
 	if (placement === undefined) {
 		progress.lastFailure = 'none is ready';
 		return {kind: 'no_backend'};
 	}
 
 	const {gateway: {clocks, random}} = context;
-	const retryAfterS = progress.offers > 0
+	const retryAfterS = progress.attempts > 0
 		? undefined
 		: computeRetryAfter({
 			predictedMs: placement.choice.predictedMs, deadline: admitted.call.deadline, now: clocks.steady(), random,
@@ -96,12 +96,12 @@
 	const {gateway} = context;
 	const {call, outgoing} = admitted;
 	const {state, choice, cachedTokens} = placement;
-	progress.offers++;
-	progress.triedIncarnations.add(state.incarnation);
+	progress.attempts++;
+	progress.attemptedIncarnations.add(state.incarnation);
 	const result = await runAtBackend(gateway, call, placement, outgoing, signal);
 	gateway.log.write(result.kind === 'answered' ? 'routine' : 'failure', 'call_placed', {
 		request: call.id, service: call.service, backend: state.entry.id, predictedMs: Math.round(choice.predictedMs), cachedTokens,
-		own: state.running, others: state.othersRunning, tokensPerMs: Math.round(getBackendPace(gateway.registry, state, gateway.clocks.steady()).tokensPerMs), offer: progress.offers,
+		own: state.running, others: state.othersRunning, tokensPerMs: Math.round(getLatencyModel(gateway.registry, state, gateway.clocks.steady()).tokensPerMs), offer: progress.attempts,
 		result: result.kind, reason: result.kind === 'answered' ? result.response.statusCode : result.reason,
 	});
 	if (result.kind !== 'answered') {
--- a/packages/gateway/src/calls/event-splitter.test.ts
+++ b/packages/gateway/src/calls/event-splitter.test.ts
@@ -5,7 +5,7 @@
 import {makeEventSplitter} from './event-splitter.js';
 
 test('a partial event is not joined with the events of a resumed stream', () => {
-	// Guards against corrupt events: a backend server terminates in the middle of an event, and the stream
+	// Guards against corrupt events: a backend server crashes in the middle of an event, and the stream
 	// is resumed on another one. Joining the two parts would form an event that neither of them sent.
 	const splitter = makeEventSplitter();
 	const first = splitter.push(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'));
--- a/packages/gateway/src/calls/move-run.ts
+++ b/packages/gateway/src/calls/move-run.ts
@@ -1,13 +1,13 @@
 /**
- * Moves a run that must not be repeated from a leaving backend server to another one: its memory (the
- * engine's KV cache) is copied, and the run continues there. A reclaim wave takes all reclaimable
- * backend servers of an availability zone with 2 s of notice, and long responses take longer.
+ * Moves a run that must not be repeated from a leaving backend server to another one: its KV
+ * cache is copied, and the run continues there. A mass reclaim takes all reclaimable backend servers
+ * of an availability zone with 2 s of notice, and long responses take longer.
  */
 import {type Call} from '@shallotpass/core/calls/types.js';
-import {takeRepeat} from '@shallotpass/core/retries/repeat-allowance.js';
+import {takeFromRetryAllowance} from '@shallotpass/core/retries/repeat-allowance.js';
 import {type GatewayState} from '../gateway-state.js';
 import {pauseFor} from '../pause.js';
-import {type MovedMemory} from '../ports.js';
+import {type MovedKvCache} from '../ports.js';
 import {type Placement, placeCall} from './place-call.js';
 import {type BackendState} from './backend-registry.js';
 import {getRetryAllowance, getRetryLimit} from './retry-limits.js';
@@ -15,7 +15,7 @@
 /**
  * Time before the departure of its backend server at which a run is moved, in milliseconds. With a
  * longer time, more runs are moved that would have finished by themselves. With a shorter one, the
- * delay of the notice and the transfer of the memory use up the remaining time.
+ * delay of the notice and the transfer of the KV cache use up the remaining time.
  */
 const moveLeadMs = 1300;
 
@@ -24,9 +24,9 @@
 
 /** A run that was stopped and can be continued. */
 export type MovedRun = {
-	readonly memory: MovedMemory;
+	readonly kvCache: MovedKvCache;
 	/** Placements where it can continue, best first. */
-	readonly places: readonly Placement[];
+	readonly placements: readonly Placement[];
 };
 
 export type DepartureWatchOptions = {
@@ -45,15 +45,15 @@
 	finish: async () => undefined,
 };
 
-/** Makes a placement at a backend server that holds the run's memory, so the complete prompt counts as cached. */
+/** Makes a placement at a backend server that holds the run's KV cache, so the complete prompt counts as cached. */
 const makePlacement = (state: BackendState, call: Call): Placement => ({
 	state, choice: {id: state.entry.id, predictedMs: 0, cost: 0}, cachedTokens: call.promptTokens,
 });
 
-/** Stops the run and copies its memory to another backend server, if the retry limit allows it. */
+/** Stops the run and copies its KV cache to another backend server, if the retry limit allows it. */
 const moveRun = async ({gateway, call, state, signal}: DepartureWatchOptions): Promise<MovedRun | undefined> => {
-	const target = placeCall(gateway, call, {triedIncarnations: new Set([state.incarnation])});
-	if (target === undefined || !takeRepeat(getRetryAllowance(gateway, call.service), getRetryLimit(gateway), gateway.clocks.steady())) {
+	const target = placeCall(gateway, call, {attemptedIncarnations: new Set([state.incarnation])});
+	if (target === undefined || !takeFromRetryAllowance(getRetryAllowance(gateway, call.service), getRetryLimit(gateway), gateway.clocks.steady())) {
 		return undefined;
 	}
 
@@ -69,12 +69,12 @@
 	});
 	switch (reply.kind) {
 		case 'moved': {
-			return {memory: reply.memory, places: [makePlacement(target.state, call), makePlacement(state, call)]};
+			return {kvCache: reply.kvCache, placements: [makePlacement(target.state, call), makePlacement(state, call)]};
 		}
 
 		case 'kept': {
-			// The run has stopped and its memory was not copied, so it can only continue where it was.
-			return {memory: reply.memory, places: [makePlacement(state, call)]};
+			// The run has stopped and its KV cache was not copied, so it can continue only on the same backend server.
+			return {kvCache: reply.kvCache, placements: [makePlacement(state, call)]};
 		}
 
 		case 'not_running':
--- a/packages/gateway/src/calls/place-call.ts
+++ b/packages/gateway/src/calls/place-call.ts
@@ -7,29 +7,29 @@
 import {computeOrderPosition, computeUnreportedMs} from '@shallotpass/core/placement/spread-choices.js';
 import {countDaemons, type GatewayState, peerExpiryMs} from '../gateway-state.js';
 import {
-	type BackendState, getBackendPace, isLimitedToOwnZone, toBackendView,
+	type BackendState, getLatencyModel, isLimitedToOwnZone, toBackendView,
 } from './backend-registry.js';
 
 /** Share of a service's connection limit that the known daemons use. The rest is left for daemons not known yet and for closing connections. */
 const usedConnectionShare = 0.85;
 
-/** Milliseconds until the calls of other daemons are known here: one gossip round, or two to three rounds through relays. */
+/** Milliseconds until this daemon knows the calls of other daemons: one gossip round, or two to three rounds through relays. */
 const gossipDelayMs = 300;
 const relayedGossipDelayMs = 900;
 
-/** Estimates the work that other daemons send to a backend server before this daemon learns of it. */
-const estimateUnseenMs = (gateway: GatewayState, service: string, backendCount: number): number => {
-	const heardSince = gateway.clocks.steady() - peerExpiryMs;
+/** Estimates the prefill time that other daemons send to a backend server before their reports arrive, in milliseconds. */
+const estimateUnreportedMs = (gateway: GatewayState, service: string, backendCount: number): number => {
+	const reportedSince = gateway.clocks.steady() - peerExpiryMs;
 	let tokensPerSecond = 0;
 	for (const peer of gateway.peers.values()) {
-		tokensPerSecond += peer.heardAt >= heardSince ? peer.work[service] ?? 0 : 0;
+		tokensPerSecond += peer.receivedAt >= reportedSince ? peer.work[service] ?? 0 : 0;
 	}
 
 	return computeUnreportedMs({
 		tokensPerSecond,
 		gossipDelayMs: needsRelays(countDaemons(gateway)) ? relayedGossipDelayMs : gossipDelayMs,
 		backends: backendCount,
-		tokensPerMs: (gateway.registry.paces.get(service) ?? defaultLatencyModel).tokensPerMs,
+		tokensPerMs: (gateway.registry.latencyModels.get(service) ?? defaultLatencyModel).tokensPerMs,
 	});
 };
 
@@ -41,7 +41,7 @@
 
 export type PlacementOptions = {
 	/** Incarnations that the call was already sent to. */
-	readonly triedIncarnations: ReadonlySet<string>;
+	readonly attemptedIncarnations: ReadonlySet<string>;
 };
 
 /** Returns the best available backend server for the call, or undefined if there is none. */
@@ -49,19 +49,19 @@
 	const now = gateway.clocks.steady();
 	const service = gateway.configuration?.servicesByName.get(call.service);
 	const ready = gateway.registry.byService.get(call.service) ?? [];
-	const available = ready.filter(state => state.suspendedUntil <= now && !options.triedIncarnations.has(state.incarnation));
+	const available = ready.filter(state => state.suspendedUntil <= now && !options.attemptedIncarnations.has(state.incarnation));
 	const {availabilityZone: ownZone} = gateway.settings.instance;
 	const sameZone = isLimitedToOwnZone(gateway.registry, ownZone) ? available.filter(state => state.entry.availabilityZone === ownZone) : [];
 	// A service without available backend servers in this zone is served by the other zones.
 	const candidates = sameZone.length > 0 ? sameZone : available;
 	const maxOwnCalls = Math.max(2, Math.floor((service?.maxConnections ?? 64) * usedConnectionShare / countDaemons(gateway)));
 	const keyHash = getAffinityHash(call);
-	const promptHome = findPreferredBackend(keyHash, candidates);
-	const unseenMs = estimateUnseenMs(gateway, call.service, candidates.length);
+	const preferred = findPreferredBackend(keyHash, candidates);
+	const unreportedMs = estimateUnreportedMs(gateway, call.service, candidates.length);
 	const views = candidates.map(state => toBackendView(state, {
-		pace: getBackendPace(gateway.registry, state, now),
-		cachedTokens: countCachedTokens(call.promptParts, {wasSent: partId => state.prefixes.has(partId), isPreferred: state === promptHome}),
-		detourMs: unseenMs * computeOrderPosition(keyHash, state.incarnationHash),
+		latencyModel: getLatencyModel(gateway.registry, state, now),
+		cachedTokens: countCachedTokens(call.promptParts, {wasSent: partId => state.prefixes.has(partId), isPreferred: state === preferred}),
+		spreadPenaltyMs: unreportedMs * computeOrderPosition(keyHash, state.incarnationHash),
 		maxOwnCalls,
 		ownZone,
 		now,
@@ -74,5 +74,5 @@
 	};
 	const choice = chooseBackend(views, placedCall, gateway.random);
 	const state = choice && gateway.registry.byId.get(choice.id);
-	return choice && state && {state, choice, cachedTokens: countCachedTokens(call.promptParts, {wasSent: partId => state.prefixes.has(partId), isPreferred: state === promptHome})};
+	return choice && state && {state, choice, cachedTokens: countCachedTokens(call.promptParts, {wasSent: partId => state.prefixes.has(partId), isPreferred: state === preferred})};
 };
--- a/packages/gateway/src/calls/retry-limits.ts
+++ b/packages/gateway/src/calls/retry-limits.ts
@@ -1,16 +1,16 @@
 /** This daemon's share of the retry limit, by service. */
-import {makeRepeatAllowance, type RepeatAllowance, type RepeatLimit} from '@shallotpass/core/retries/repeat-allowance.js';
+import {makeRetryAllowance, type RetryAllowance, type RetryLimit} from '@shallotpass/core/retries/repeat-allowance.js';
 import {countDaemons, type GatewayState} from '../gateway-state.js';
 
-export const getRetryLimit = (gateway: GatewayState): RepeatLimit => {
+export const getRetryLimit = (gateway: GatewayState): RetryLimit => {
 	const {repeatRatio, repeatSlack, repeatWindowMs} = gateway.settings.bounds;
 	return {
 		ratio: repeatRatio, slack: repeatSlack, windowMs: repeatWindowMs, daemons: countDaemons(gateway),
 	};
 };
 
-export const getRetryAllowance = (gateway: GatewayState, service: string): RepeatAllowance => {
-	const allowance = gateway.allowances.get(service) ?? makeRepeatAllowance();
+export const getRetryAllowance = (gateway: GatewayState, service: string): RetryAllowance => {
+	const allowance = gateway.allowances.get(service) ?? makeRetryAllowance();
 	gateway.allowances.set(service, allowance);
 	return allowance;
 };
--- a/packages/gateway/src/calls/run-at-backend.ts
+++ b/packages/gateway/src/calls/run-at-backend.ts
@@ -14,7 +14,7 @@
 import {getWindowIndex, recordStart} from '@shallotpass/core/usage/count-starts.js';
 import {parseHostAndPort} from '../host-and-port.js';
 import {type GatewayState} from '../gateway-state.js';
-import {type MovedMemory} from '../ports.js';
+import {type MovedKvCache} from '../ports.js';
 import {type BackendState, trackedRankCount} from './backend-registry.js';
 import {type Exchange, type IsComplete, sendToBackend} from './backend-exchange.js';
 import {type Placement} from './place-call.js';
@@ -33,8 +33,8 @@
 	readonly body: Buffer;
 	readonly digest: string;
 	readonly lastEventId: string | undefined;
-	/** Memory of the run to continue; undefined if the call starts from the beginning. */
-	readonly memory?: MovedMemory;
+	/** KV cache of the run to continue; undefined if the call starts from the beginning. */
+	readonly kvCache?: MovedKvCache;
 };
 
 export type AttemptResult =
@@ -86,7 +86,7 @@
 
 /**
  * Handles a connection that broke during a call. If no new connection can be opened, the backend
- * server has terminated and the call may have crashed it, so its digest is recorded.
+ * server has crashed and the call may be the cause, so its digest is recorded.
  */
 export const recordBrokenConnection = async (gateway: GatewayState, state: BackendState, digest: string): Promise<void> => {
 	if (await canConnect(state.entry.address)) {
@@ -133,17 +133,17 @@
 	}
 };
 
-/** Updates the measured speed of the backend server and its service from the time until the response head. */
-const learnFromResponseHead = (gateway: GatewayState, call: Call, attempt: {state: BackendState; sentAt: number; workTokens: number}): void => {
+/** Updates the latency model of the backend server and its service from the time until the response head. */
+const recordLatency = (gateway: GatewayState, call: Call, attempt: {state: BackendState; sentAt: number; workTokens: number}): void => {
 	const {state} = attempt;
 	const tookMs = gateway.clocks.steady() - attempt.sentAt;
 	if (isStream(call.repeatability)) {
 		const event = {workTokens: attempt.workTokens, tookMs};
-		const pace = gateway.registry.paces.get(call.service) ?? defaultLatencyModel;
-		const reading = toPrefillSample(event, pace);
-		gateway.registry.paces.set(call.service, updateFixedLatency(pace, event));
-		if (reading !== undefined) {
-			state.reading = recordPrefill(state.reading, reading, gateway.clocks.steady());
+		const latencyModel = gateway.registry.latencyModels.get(call.service) ?? defaultLatencyModel;
+		const sample = toPrefillSample(event, latencyModel);
+		gateway.registry.latencyModels.set(call.service, updateFixedLatency(latencyModel, event));
+		if (sample !== undefined) {
+			state.prefill = recordPrefill(state.prefill, sample, gateway.clocks.steady());
 		}
 
 		return;
@@ -184,7 +184,7 @@
 			state.unansweredSince.delete(callKey);
 			state.running--;
 			state.runningDigests.delete(digest);
-			state.failureShare = updateFailureRate(state.failureShare, isFailure);
+			state.failureRate = updateFailureRate(state.failureRate, isFailure);
 		},
 	};
 };
@@ -203,7 +203,7 @@
 		remainingMs: Math.max(1, Math.floor(call.deadline - now)),
 		rank: isStream(call.repeatability) ? rank : undefined,
 		lastEventId: outgoing.lastEventId,
-		memory: outgoing.memory,
+		kvCache: outgoing.kvCache,
 	});
 	const hasBody = outgoing.body.length > 0 || outgoing.method === 'POST' || outgoing.method === 'PUT';
 	const exchange = sendToBackend({
@@ -287,9 +287,9 @@
 	}
 
 	trackedCall.endPending();
-	learnFromResponseHead(gateway, call, {state, sentAt: now, workTokens});
+	recordLatency(gateway, call, {state, sentAt: now, workTokens});
 	// A run that was moved here has already been counted where it started.
-	recordUsage(gateway, call, response.statusCode === 200 && outgoing.memory === undefined);
+	recordUsage(gateway, call, response.statusCode === 200 && outgoing.kvCache === undefined);
 	gateway.metrics.attempts.inc({service: call.service, outcome: (response.statusCode ?? 0) < 500 ? 'answered' : 'failed'});
 	return {
 		kind: 'answered', response, attempt: {
--- a/packages/gateway/src/calls/serve-plain.ts
+++ b/packages/gateway/src/calls/serve-plain.ts
@@ -11,7 +11,7 @@
 	const {gateway, response: target} = context;
 	const {call, outgoing} = admitted;
 	const progress: CallProgress = {
-		triedIncarnations: new Set(), possibleRuns: 0, offers: 0, hasArrived: false, lastFailure: '',
+		attemptedIncarnations: new Set(), possibleRuns: 0, attempts: 0, hasArrived: false, lastFailure: '',
 	};
 	for (;;) {
 		// eslint-disable-next-line no-await-in-loop -- attempts run one after another
--- a/packages/gateway/src/calls/serve-stream.ts
+++ b/packages/gateway/src/calls/serve-stream.ts
@@ -23,7 +23,7 @@
 	/** Whether the head of the response was sent to the caller. */
 	hasStarted: boolean;
 	/** Placements where a moved run can continue, best first. */
-	places: readonly Placement[];
+	placements: readonly Placement[];
 	readonly signal: AbortSignal;
 };
 
@@ -65,11 +65,11 @@
 	return endWith(forwarded === 'passed' ? {name: 'backend_error'} : makeFailureOutcome(progress));
 };
 
-/** Continues with the moved memory. It is the same run, so the next attempt is not a retry. */
+/** Continues the run with the moved KV cache. It is the same run, so the next attempt is not a retry. */
 const resumeMovedRun = (stream: StreamState, moved: MovedRun): NextStep => {
 	stream.splitter.discardPartialEvent();
-	stream.places = moved.places;
-	stream.outgoing = {...stream.outgoing, lastEventId: stream.splitter.getLastEventId(), memory: moved.memory};
+	stream.placements = moved.placements;
+	stream.outgoing = {...stream.outgoing, lastEventId: stream.splitter.getLastEventId(), kvCache: moved.kvCache};
 	return {kind: 'try_again', isExempt: true};
 };
 
@@ -117,12 +117,12 @@
 
 const sendNextAttempt = async (stream: StreamState): Promise<SendResult> => {
 	const {context, call, outgoing, progress, signal} = stream;
-	const [placement, ...remainingPlacements] = stream.places;
+	const [placement, ...remainingPlacements] = stream.placements;
 	if (placement === undefined) {
 		return sendToBestBackend(context, {call, outgoing}, progress, signal);
 	}
 
-	stream.places = remainingPlacements;
+	stream.placements = remainingPlacements;
 	return sendToPlacement(context, {call, outgoing}, placement, progress, signal);
 };
 
@@ -133,7 +133,7 @@
 	}
 
 	if (result.kind !== 'answered') {
-		const hasOtherPlacement = result.kind === 'not_run' && stream.places.length > 0;
+		const hasOtherPlacement = result.kind === 'not_run' && stream.placements.length > 0;
 		return hasOtherPlacement ? {kind: 'try_again', isExempt: true} : retryStep;
 	}
 
@@ -148,11 +148,11 @@
 		call: admitted.call,
 		outgoing: admitted.outgoing,
 		progress: {
-			triedIncarnations: new Set(), possibleRuns: 0, offers: 0, hasArrived: false, lastFailure: '',
+			attemptedIncarnations: new Set(), possibleRuns: 0, attempts: 0, hasArrived: false, lastFailure: '',
 		},
 		splitter: makeEventSplitter(),
 		hasStarted: false,
-		places: [],
+		placements: [],
 		signal,
 	};
 	for (;;) {
--- a/packages/gateway/src/calls/take-quota.ts
+++ b/packages/gateway/src/calls/take-quota.ts
@@ -50,7 +50,7 @@
 	const now = gateway.clocks.steady();
 	const {bounds} = gateway.settings;
 	const peers = [...gateway.peers.values()];
-	const activePeers = peers.filter(peer => peer.heardAt >= now - peerExpiryMs);
+	const activePeers = peers.filter(peer => peer.receivedAt >= now - peerExpiryMs);
 	const daemons = countDaemons(gateway);
 	const bucket = gateway.buckets.get(name);
 	return {
@@ -86,9 +86,9 @@
 	const cost = computeCallCost(limit, head);
 	gateway.buckets.set(name, recordDemand(gateway.buckets.get(name) ?? makeBucket(now), cost, now));
 	const view = makeSpendingView(gateway, {name, limit, call: {cost, rank}});
-	const allotment = computeBucketRefill(view);
+	const refill = computeBucketRefill(view);
 	const decision = takeFromBucket(gateway.buckets.get(name)!, {
-		cost, now, isUnrestricted: hasBudget(view, cost), refill: allotment, random: gateway.random,
+		cost, now, isUnrestricted: hasBudget(view, cost), refill, random: gateway.random,
 	});
 	gateway.buckets.set(name, decision.bucket);
 	if (decision.isAdmitted) {
--- a/packages/gateway/src/clocks.ts
+++ b/packages/gateway/src/clocks.ts
@@ -1,9 +1,9 @@
 /**
  * Clocks for a daemon whose instance may be suspended and whose time of day may jump.
  *
- * `steady` is monotonic and orders events within this process, but stops while the instance is suspended.
- * The time of day continues during a suspension, but may jump. Neither clock alone can tell a suspension from
- * a jump, so each disagreement between them is counted, and a lease holder treats every disagreement as an expired lease.
+ * `steady` is the steady clock. It never goes back and orders events within this process, but stops while the instance is suspended.
+ * The time of day continues during a suspension, but may jump. Neither clock alone can distinguish a
+ * suspension from a jump, so each disagreement between them is counted, and a lease holder treats every disagreement as an expired lease.
  * `trueTime` is used for windows that all daemons share. It is the time of day at the start, advanced by the
  * steady clock and corrected to the median of all daemons.
  */
--- a/packages/gateway/src/gateway-state.ts
+++ b/packages/gateway/src/gateway-state.ts
@@ -5,7 +5,7 @@
 import {type Spending} from '@shallotpass/core/quotas/spending.js';
 import {type IndexedConfiguration} from '@shallotpass/core/calls/index-configuration.js';
 import {type WorkRate} from '@shallotpass/core/engines/work-rate.js';
-import {type RepeatAllowance} from '@shallotpass/core/retries/repeat-allowance.js';
+import {type RetryAllowance} from '@shallotpass/core/retries/repeat-allowance.js';
 import {type UsageTally} from '@shallotpass/core/usage/count-starts.js';
 import {type BackendRegistry} from './calls/backend-registry.js';
 import {type Clocks} from './clocks.js';
@@ -17,7 +17,7 @@
 /** Latest report of another daemon, or of a relay on behalf of several daemons. */
 export type PeerReport = GossipReport & {
 	/** When the report arrived, on the steady clock. */
-	readonly heardAt: number;
+	readonly receivedAt: number;
 	/** The sender's true time minus this daemon's steady clock on arrival. */
 	readonly clockOffset: number;
 };
@@ -45,19 +45,19 @@
 	readonly buckets: Map<string, AccountBucket>;
 	/** Spending within the quota window, by account. Written by calls. */
 	readonly spending: Map<string, Spending>;
-	/** Spending of accounts in each part of the quota window before this daemon started, as of the true time `at`. Written by the leader task. */
+	/** Spending of accounts in each slot of the quota window before this daemon started, as of the true time `at`. Written by the lease record. */
 	inherited: {readonly spent: Readonly<Record<string, readonly number[]>>; readonly at: number} | undefined;
 	/** Whether the earlier spending of accounts has been loaded, or cannot be loaded. Written by the leader task. */
 	isSpendingLoaded: boolean;
 	/** Start of this process, on the steady clock. */
 	readonly startedAt: number;
 	/** Retry allowances by service. Written by calls. */
-	readonly allowances: Map<string, RepeatAllowance>;
+	readonly allowances: Map<string, RetryAllowance>;
 	/** Started calls by usage window and account. Written by calls. */
 	readonly usage: UsageTally;
 	/** Backend servers that crashed while running a request, by digest of the request. Written by calls and gossip. */
 	crashes: CrashRegister;
-	/** Rate of prompt tokens to process, by service. Written by calls. */
+	/** Rate of prompt tokens to prefill, by service. Written by calls. */
 	readonly workRates: Map<string, WorkRate>;
 	/** Latest reports of peers, by incarnation. Written by gossip. */
 	readonly peers: Map<string, PeerReport>;
@@ -75,7 +75,7 @@
 	const since = state.clocks.steady() - peerExpiryMs;
 	let daemons = 1;
 	for (const peer of state.peers.values()) {
-		if (peer.heardAt >= since) {
+		if (peer.receivedAt >= since) {
 			daemons += peer.daemons;
 		}
 	}
--- a/packages/gateway/src/leader/collect-usage.ts
+++ b/packages/gateway/src/leader/collect-usage.ts
@@ -12,7 +12,7 @@
  */
 const recordDelayMs = 1200;
 
-/** Usage counted by this daemon and its known peers. The lease record holds the counts of daemons that have ended. */
+/** Usage counted by this daemon and its known peers. The lease record holds the counts of daemons that have stopped. */
 export const collectUsage = (gateway: GatewayState): UsageTable => {
 	let table: UsageTable = Object.fromEntries([...gateway.usage].map(([window, counts]) => [window, {[gateway.incarnation]: counts}]));
 	for (const {usage} of gateway.peers.values()) {
--- a/packages/gateway/src/leader/deliver-duties.ts
+++ b/packages/gateway/src/leader/deliver-duties.ts
@@ -1,8 +1,8 @@
-/** Performs the leader's duties: sends the usage reports and backend server orders in the lease record to the cloud API. */
+/** Sends the leader's requests to the cloud API: the usage reports and backend server orders in the lease record. */
 import {type BackendOrder, getFencingToken, addReport} from '@shallotpass/core/duties/lease.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type EventFields} from '../telemetry/log-events.js';
-import {type CloudReply, type DutyAuthority, type Platform} from '../ports.js';
+import {type CloudReply, type LeaseAuthority, type Platform} from '../ports.js';
 import {type LeaseRecord} from './lease-record.js';
 
 const cloudTimeoutMs = 600;
@@ -13,7 +13,7 @@
 /** Delay before the next order after a failed call to the cloud API. */
 const cloudRetryDelayMs = 800;
 
-export type DutyDeliveryOptions = {
+export type CloudSenderOptions = {
 	readonly gateway: GatewayState;
 	readonly platform: Platform;
 	readonly record: LeaseRecord;
@@ -26,40 +26,40 @@
 	readonly signal: AbortSignal;
 };
 
-export type DutyDelivery = {
-	/** Sends the reports and orders that were not yet delivered under the current lease. */
-	readonly deliver: () => Promise<void>;
-	/** Clears the delivery state when the lease is lost, so that everything is sent again under the next lease. */
+export type CloudSender = {
+	/** Sends the reports that are not delivered yet, and the orders that the cloud API has not accepted under the current lease yet. */
+	readonly sendPending: () => Promise<void>;
+	/** Clears the accepted orders when the lease is lost, so that they are sent again under the next lease. */
 	readonly reset: () => void;
 };
 
 /** Key of an order. A later order with the same key replaces it. */
 export const toOrderKey = (order: BackendOrder): string => `${order.service}/${order.availabilityZone}/${order.isReclaimable}`;
 
-export const makeDutyDelivery = (options: DutyDeliveryOptions): DutyDelivery => {
+export const makeCloudSender = (options: CloudSenderOptions): CloudSender => {
 	const {gateway, platform, record, signal} = options;
 	let ordersPausedUntil = 0;
 	/** Orders accepted by the cloud under the current lease, by key, with the time of acceptance. */
 	const acceptedOrders = new Map<string, {count: number; at: number}>();
 	const now = (): number => gateway.clocks.steady();
 
-	const recordCloudReply = <Duty extends 'usage_report' | 'backend_order'>(duty: Duty, reply: CloudReply, fields: EventFields<Duty>): void => {
+	const recordCloudReply = <RequestKind extends 'usage_report' | 'backend_order'>(requestKind: RequestKind, reply: CloudReply, fields: EventFields<RequestKind>): void => {
 		const outcome = reply.kind === 'failed' ? reply.reason : reply.kind;
 		if (reply.kind !== 'failed') {
 			options.onCloudAnswer();
 		}
 
-		gateway.metrics.duties.inc({duty, outcome: reply.kind});
-		gateway.log.write(reply.kind === 'done' ? 'state' : 'failure', duty, {...fields, outcome});
+		gateway.metrics.cloudRequests.inc({duty: requestKind, outcome: reply.kind});
+		gateway.log.write(reply.kind === 'done' ? 'state' : 'failure', requestKind, {...fields, outcome});
 	};
 
-	/** Returns undefined when the lease is not held or may have expired. */
-	const getAuthority = (): DutyAuthority | undefined => {
+	/** Returns the holder and its fencing token, or undefined when the lease is not held or may have expired. */
+	const getAuthority = (): LeaseAuthority | undefined => {
 		const held = record.getHeld();
 		return held !== undefined && record.canAct() ? {holder: gateway.settings.instance.id, fence: getFencingToken(held.stored)} : undefined;
 	};
 
-	const deliverReports = async (): Promise<void> => {
+	const sendReports = async (): Promise<void> => {
 		for (const report of record.getHeld()?.stored.lease.reports ?? []) {
 			const authority = getAuthority();
 			if (report.isDelivered || authority === undefined) {
@@ -81,7 +81,7 @@
 		return accepted?.count === order.count && (options.isFulfilled(order) || now() < accepted.at + resendOrderAfterMs);
 	};
 
-	const deliverOrders = async (): Promise<void> => {
+	const sendOrders = async (): Promise<void> => {
 		for (const order of record.getHeld()?.stored.lease.orders ?? []) {
 			const authority = getAuthority();
 			if (isAlreadyPlaced(order) || authority === undefined) {
@@ -109,10 +109,10 @@
 	};
 
 	return {
-		async deliver() {
-			await deliverReports();
+		async sendPending() {
+			await sendReports();
 			if (now() >= ordersPausedUntil) {
-				await deliverOrders();
+				await sendOrders();
 			}
 		},
 		reset() {
--- a/packages/gateway/src/leader/leader-task.ts
+++ b/packages/gateway/src/leader/leader-task.ts
@@ -1,6 +1,6 @@
 /**
- * Acquires and renews the leader lease, and performs the leader's duties while holding it: usage
- * reports and backend server orders. Each report and order is stored in the lease record before it
+ * Acquires and renews the leader lease. While this daemon holds it, sends the leader's requests to the
+ * cloud API: usage reports and backend server orders. Each report and order is stored in the lease record before it
  * is sent to the cloud API, so that a successor sends the same values.
  */
 import {
@@ -12,7 +12,7 @@
 } from '@shallotpass/core/usage/count-starts.js';
 import {pauseFor} from '../pause.js';
 import {
-	type DutyDelivery, type DutyDeliveryOptions, makeDutyDelivery, toOrderKey,
+	type CloudSender, type CloudSenderOptions, makeCloudSender, toOrderKey,
 } from './deliver-duties.js';
 import {collectUsage, projectSpending} from './collect-usage.js';
 import {type HeldLease, type LeaseRecord, makeLeaseRecord} from './lease-record.js';
@@ -44,8 +44,8 @@
 	return left.length === right.length && right.every(order => counts.get(toOrderKey(order)) === order.count);
 };
 
-export type LeaderTaskOptions = Omit<DutyDeliveryOptions, 'record'> & {
-	/** Determines which daemon tries first to acquire the lease when no peer reports holding it. */
+export type LeaderTaskOptions = Omit<CloudSenderOptions, 'record'> & {
+	/** Determines which daemon first attempts to acquire the lease when no peer reports holding it. */
 	readonly getStoreRole: () => StoreRole;
 	/** Returns the orders that should be in effect now. */
 	readonly planOrders: () => readonly BackendOrder[];
@@ -62,22 +62,22 @@
 	const {instance, listen} = gateway.settings;
 	const candidate: LeaseCandidate = {holder: instance.id, holderAddress: listen.peers, incarnation: gateway.incarnation};
 	/** The newest lease record that was read from the store or reported by a peer. */
-	let watch: LeaseObservation | undefined;
-	/** When a peer last reported holding the lease, and when the lease record was last read because no peer did. */
-	let holderHeardAt = gateway.startedAt;
+	let observation: LeaseObservation | undefined;
+	/** When a peer last reported holding the lease, and when the lease record was last read because no peer reported holding it. */
+	let holderReportedAt = gateway.startedAt;
 	let leaseReadAt = Number.NEGATIVE_INFINITY;
 	const record: LeaseRecord = makeLeaseRecord({
 		gateway, platform, signal, onLost() {
-			delivery.reset();
+			cloudSender.reset();
 		},
 	});
-	const delivery: DutyDelivery = makeDutyDelivery({...options, record});
+	const cloudSender: CloudSender = makeCloudSender({...options, record});
 
 	/** Returns whether the record was stored. If another daemon's record was found instead, its expiry is tracked from now on. */
 	const writeLease = async (lease: Lease): Promise<boolean> => {
 		const result = await record.write(lease);
 		if (result.kind === 'taken') {
-			watch = result.offset === undefined ? undefined : observeLease(watch, {offset: result.offset, clockDisagreements: countDisagreements()}, steady());
+			observation = result.offset === undefined ? undefined : observeLease(observation, {offset: result.offset, clockDisagreements: countDisagreements()}, steady());
 		}
 
 		return result.kind === 'stands';
@@ -124,7 +124,7 @@
 
 	const maintainLease = async (held: HeldLease): Promise<void> => {
 		if (!record.canAct()) {
-			// The instance may have been suspended while another daemon took over, which only the store can tell.
+			// The instance may have been suspended while another daemon took over, which only the store shows.
 			// A lease that cannot be proven valid is treated as lost.
 			record.markLost(held.disagreements === countDisagreements() ? 'not renewed in time' : 'steady clock and time of day disagree');
 			return;
@@ -136,33 +136,33 @@
 		}
 
 		if (await renew(held)) {
-			await delivery.deliver();
+			await cloudSender.sendPending();
 		}
 	};
 
 	/** Whether a peer recently reported holding the lease. Also tracks the expiry of the reported record from this time on, not only once reports stop. */
-	const isHolderHeard = (): boolean => {
+	const isHolderReported = (): boolean => {
 		const since = steady() - holderTimeoutMs;
-		const offsets = [...gateway.peers.values()].filter(peer => peer.heardAt >= since).map(peer => peer.leaseOffset);
+		const offsets = [...gateway.peers.values()].filter(peer => peer.receivedAt >= since).map(peer => peer.leaseOffset);
 		const offset = Math.max(-1, ...offsets);
 		if (offset >= 0) {
-			holderHeardAt = steady();
-			watch = observeLease(watch, {offset, clockDisagreements: countDisagreements()}, steady());
+			holderReportedAt = steady();
+			observation = observeLease(observation, {offset, clockDisagreements: countDisagreements()}, steady());
 		}
 
 		return offset >= 0;
 	};
 
-	const isLeaseExpired = (): boolean => watch !== undefined && canTakeLease(watch, gateway.settings.bounds.leaseMs, steady());
+	const isLeaseExpired = (): boolean => observation !== undefined && canTakeLease(observation, gateway.settings.bounds.leaseMs, steady());
 
 	/** Whether to read the lease record: no peer reports holding the lease, and the record was not read since the last such report or has expired. */
 	const shouldReadLease = (): boolean => {
-		if (isHolderHeard() || gateway.drainingSince !== undefined || gateway.configuration === undefined) {
+		if (isHolderReported() || gateway.drainingSince !== undefined || gateway.configuration === undefined) {
 			return false;
 		}
 
-		const isDue = steady() >= holderHeardAt + getLeaseLookupDelayMs(options.getStoreRole());
-		return isDue && (leaseReadAt < holderHeardAt || isLeaseExpired());
+		const isDue = steady() >= holderReportedAt + getLeaseLookupDelayMs(options.getStoreRole());
+		return isDue && (leaseReadAt < holderReportedAt || isLeaseExpired());
 	};
 
 	const tryAcquireLease = async (): Promise<void> => {
@@ -178,7 +178,7 @@
 		leaseReadAt = steady();
 		const stored = readResult.kind === 'stands' ? readResult.stored : undefined;
 		if (stored !== undefined) {
-			watch = observeLease(watch, {offset: stored.offset, clockDisagreements: countDisagreements()}, steady());
+			observation = observeLease(observation, {offset: stored.offset, clockDisagreements: countDisagreements()}, steady());
 		}
 
 		const isFree = stored === undefined || isLeaseFree(stored.lease, candidate);
@@ -212,7 +212,7 @@
 	};
 
 	/** Whether this daemon or a peer holds the lease. */
-	const isHolderKnown = (): boolean => record.getHeld() !== undefined || isHolderHeard();
+	const isHolderKnown = (): boolean => record.getHeld() !== undefined || isHolderReported();
 
 	const waitForFirstHolder = async (): Promise<void> => {
 		const giveUpAt = gateway.startedAt + firstHolderTimeoutMs;
@@ -237,7 +237,7 @@
 		while (!gateway.isSpendingLoaded && !signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop -- reads are sequential
 			const readResult = await record.read();
-			const isKnown = readResult.kind !== 'unknown' || isHolderHeard();
+			const isKnown = readResult.kind !== 'unknown' || isHolderReported();
 			gateway.isSpendingLoaded = isKnown || steady() >= giveUpAt;
 			if (gateway.isSpendingLoaded) {
 				gateway.log.write('state', 'spending_read', {isKnown, inherited: gateway.inherited});
--- a/packages/gateway/src/leader/lease-record.ts
+++ b/packages/gateway/src/leader/lease-record.ts
@@ -114,7 +114,7 @@
 			return {kind: 'unknown'};
 		}
 
-		// The response was lost or another record was appended first. Only the store can tell which record is current.
+		// The response was lost or another record was appended first. Only the store shows which record is current.
 		const current = await read();
 		if (current.kind === 'unknown') {
 			return current;
--- a/packages/gateway/src/leader/order-planner.ts
+++ b/packages/gateway/src/leader/order-planner.ts
@@ -6,10 +6,10 @@
 import {planBackends, type PlanInput, type ZoneFleet} from '@shallotpass/core/engines/plan-backends.js';
 import {defaultLatencyModel} from '@shallotpass/core/placement/engine-latency.js';
 import {computeWorkRate} from '@shallotpass/core/engines/work-rate.js';
-import {getBackendPace} from '../calls/backend-registry.js';
+import {getLatencyModel} from '../calls/backend-registry.js';
 import {type GatewayState, peerExpiryMs} from '../gateway-state.js';
 
-/** Delay before reclaimable backend servers of a zone are ordered again after a refusal. The cloud refuses for 12 to 15 s after a wave of reclaims. */
+/** Delay before reclaimable backend servers of a zone are ordered again after a refusal. The cloud refuses for 12 to 15 s after a mass reclaim. */
 const refusalBackoffMs = 3500;
 
 /** Time beyond the boot time of a backend server after which an accepted order counts as not fulfilled. */
@@ -32,15 +32,15 @@
 };
 
 export const makeOrderPlanner = (gateway: GatewayState): OrderPlanner => {
-	/** `service/zone` → time until which the cloud is assumed to offer no reclaimable ones. */
+	/** `service/zone` → time until which the cloud is assumed to offer no reclaimable backend servers. */
 	const refusedUntil = new Map<string, number>();
-	/** `service/zone` → the last accepted order of reclaimable ones. */
+	/** `service/zone` → the last accepted order of reclaimable backend servers. */
 	const acceptedOrders = new Map<string, AcceptedOrder>();
-	const needsByService = new Map<string, DemandEstimate>();
+	const demandByService = new Map<string, DemandEstimate>();
 	const plannedCounts = new Map<string, number>();
 	const now = (): number => gateway.clocks.steady();
 
-	/** Backend servers that started together register one after the other. An order based on the first few entries would stop the others. */
+	/** Backend servers that started together register one after the other. An order based on the first few entries would shut down the others. */
 	const isDirectoryComplete = (): boolean => gateway.directoryReadAt !== undefined && now() >= gateway.directoryReadAt + directorySettleMs;
 
 	const countReady = (service: string, zone: string, isReclaimable: boolean): number => (gateway.registry.byService.get(service) ?? [])
@@ -62,23 +62,23 @@
 		};
 	});
 
-	/** Mean prompt processing speed of the ready backend servers, in tokens per millisecond. */
+	/** Mean prefill speed of the ready backend servers, in tokens per millisecond. */
 	const computeMeanSpeed = (service: string): number => {
 		const ready = gateway.registry.byService.get(service) ?? [];
-		const total = ready.reduce((sum, state) => sum + getBackendPace(gateway.registry, state, now()).tokensPerMs, 0);
-		return ready.length === 0 ? (gateway.registry.paces.get(service) ?? defaultLatencyModel).tokensPerMs : total / ready.length;
+		const total = ready.reduce((sum, state) => sum + getLatencyModel(gateway.registry, state, now()).tokensPerMs, 0);
+		return ready.length === 0 ? (gateway.registry.latencyModels.get(service) ?? defaultLatencyModel).tokensPerMs : total / ready.length;
 	};
 
 	const countRunning = (service: string): number => (gateway.registry.byService.get(service) ?? [])
 		.reduce((sum, state) => sum + state.running + state.othersRunning, 0);
 
-	const computeNeed = (service: string): Pick<PlanInput, 'needed' | 'assumed'> => {
+	const estimateDemand = (service: string): Pick<PlanInput, 'needed' | 'assumed'> => {
 		const since = now() - peerExpiryMs;
 		const own = gateway.workRates.get(service);
-		const peerRates = [...gateway.peers.values()].filter(peer => peer.heardAt >= since).map(peer => peer.work[service] ?? 0);
+		const peerRates = [...gateway.peers.values()].filter(peer => peer.receivedAt >= since).map(peer => peer.work[service] ?? 0);
 		const promptTokensPerSecond = peerRates.reduce((total, rate) => total + rate, own === undefined ? 0 : computeWorkRate(own, now()));
 		const serviceConfiguration = gateway.configuration?.servicesByName.get(service);
-		const need = updateDemandEstimate(needsByService.get(service), {
+		const demand = updateDemandEstimate(demandByService.get(service), {
 			promptTokensPerSecond,
 			running: countRunning(service),
 			present: gateway.registry.byService.get(service)?.length ?? 0,
@@ -86,10 +86,10 @@
 			places: serviceConfiguration?.engine?.places ?? Infinity,
 			bootMs: serviceConfiguration?.fleet?.bootMs ?? 0,
 		}, now());
-		needsByService.set(service, need);
-		const needed = roundWithHysteresis(need.backends, plannedCounts.get(service) ?? 0);
+		demandByService.set(service, demand);
+		const needed = roundWithHysteresis(demand.backends, plannedCounts.get(service) ?? 0);
 		plannedCounts.set(service, needed);
-		return {needed, assumed: Math.ceil(need.assumed)};
+		return {needed, assumed: Math.ceil(demand.assumed)};
 	};
 
 	return {
@@ -102,7 +102,7 @@
 			return services.flatMap(({name, fleet}) => fleet === undefined
 				? []
 				: planBackends({
-					service: name, bounds: fleet, zones: listZones(name), ...computeNeed(name), now: now(),
+					service: name, bounds: fleet, zones: listZones(name), ...estimateDemand(name), now: now(),
 				}));
 		},
 		recordAccepted(order) {
--- a/packages/gateway/src/peers/gossip.ts
+++ b/packages/gateway/src/peers/gossip.ts
@@ -24,7 +24,7 @@
 import {makeRelayMonitor} from './relay-monitor.js';
 import {sumOtherLoads} from './sum-other-loads.js';
 
-/** Interval between rounds. Older load figures would mislead the placement of calls that take 200 ms. */
+/** Interval between rounds. Calls take about 200 ms, so older loads would lead to wrong placements. */
 const gossipIntervalMs = 300;
 
 /** Peers that were silent for this long receive a report only every few rounds. */
@@ -34,7 +34,7 @@
 /** Peers that were silent for this long are removed, together with the usage they reported. */
 const removeAfterMs = 40_000;
 
-/** Peers heard from within this time can read the store for all. The time covers three rounds and one late report. */
+/** Peers that reported within this time can read the store for all. The time covers three rounds and one late report. */
 const readerTimeoutMs = 1000;
 
 /** Time for which a computed role is cached. Roles are requested many times a second. */
@@ -46,8 +46,8 @@
 	readonly gateway: GatewayState;
 	readonly platform: Platform;
 	readonly getReportInput: (members: MemberList) => ReportInput;
-	/** Called with the store state that a peer reports, and the peer's address. */
-	readonly onStoreKnowledge: (known: StoreVersions, address: string) => void;
+	/** Called with the store versions that a peer reports, and the peer's address. */
+	readonly onStoreVersions: (known: StoreVersions, address: string) => void;
 	readonly signal: AbortSignal;
 };
 
@@ -68,10 +68,10 @@
 	};
 	/** Members by address. */
 	const members = new Map<string, GossipMember>([[self.address, self]]);
-	/** Seeds and members from which no report has arrived yet, by address, with the time when they were added. */
+	/** Unconfirmed peers: seeds and members from which no report has arrived yet, by address, with the time when they were added. */
 	const unconfirmed = new Map<string, number>();
 	/** Reports from daemons that use this one as their relay, by incarnation. */
-	const zoneReports = new Map<string, {readonly report: GossipReport; readonly heardAt: number}>();
+	const zoneReports = new Map<string, {readonly report: GossipReport; readonly receivedAt: number}>();
 	/** Aggregated reports of the other zones, by incarnation. Both relays of a zone receive them, but only the active relay uses them. */
 	const zoneSums = new Map<string, PeerReport>();
 	let isActiveRelay = false;
@@ -88,9 +88,9 @@
 			return;
 		}
 
-		const isHeard = [...gateway.peers.values()].some(peer => peer.address === member.address);
+		const hasReported = [...gateway.peers.values()].some(peer => peer.address === member.address);
 		members.set(member.address, member);
-		if (!isHeard && !unconfirmed.has(member.address)) {
+		if (!hasReported && !unconfirmed.has(member.address)) {
 			unconfirmed.set(member.address, now());
 		}
 	};
@@ -99,7 +99,7 @@
 	let ownReport = makeReport(gateway, options.getReportInput(memberList));
 	let rounds = 0;
 
-	const toPeerReport = (report: GossipReport): PeerReport => ({...report, heardAt: now(), clockOffset: report.trueTime - now()});
+	const toPeerReport = (report: GossipReport): PeerReport => ({...report, receivedAt: now(), clockOffset: report.trueTime - now()});
 
 	const recordPeer = (report: PeerReport): void => {
 		if (!gateway.peers.has(report.incarnation)) {
@@ -110,7 +110,7 @@
 
 		gateway.peers.set(report.incarnation, report);
 		if (report.address !== self.address) {
-			options.onStoreKnowledge(report.known, report.address);
+			options.onStoreVersions(report.known, report.address);
 		}
 	};
 
@@ -139,7 +139,7 @@
 		}
 	};
 
-	/** Switches between the active relay's sources and those of other daemons. Keeping both would count peers twice. */
+	/** Switches between the reports that the active relay uses and those that other daemons use. Keeping both would count peers twice. */
 	const setActiveRelay = (isActive: boolean): void => {
 		if (isActive === isActiveRelay) {
 			return;
@@ -188,7 +188,7 @@
 			return;
 		}
 
-		zoneReports.set(report.incarnation, {report, heardAt: now()});
+		zoneReports.set(report.incarnation, {report, receivedAt: now()});
 	};
 
 	socket.on('message', message => {
@@ -223,20 +223,20 @@
 
 	const removeSilentPeers = (): void => {
 		for (const [incarnation, peer] of gateway.peers) {
-			if (peer.heardAt < now() - removeAfterMs) {
+			if (peer.receivedAt < now() - removeAfterMs) {
 				gateway.peers.delete(incarnation);
-				gateway.log.write('state', 'peer_forgotten', {peer: peer.id, silentMs: Math.round(now() - peer.heardAt)});
+				gateway.log.write('state', 'peer_forgotten', {peer: peer.id, silentMs: Math.round(now() - peer.receivedAt)});
 			}
 		}
 
-		for (const [incarnation, {heardAt}] of zoneReports) {
-			if (heardAt < now() - removeAfterMs) {
+		for (const [incarnation, {receivedAt}] of zoneReports) {
+			if (receivedAt < now() - removeAfterMs) {
 				zoneReports.delete(incarnation);
 			}
 		}
 
-		for (const [incarnation, {heardAt}] of zoneSums) {
-			if (heardAt < now() - removeAfterMs) {
+		for (const [incarnation, {receivedAt}] of zoneSums) {
+			if (receivedAt < now() - removeAfterMs) {
 				zoneSums.delete(incarnation);
 			}
 		}
@@ -251,15 +251,15 @@
 	const sendToAllPeers = (): void => {
 		const addresses = new Map<string, number>();
 		for (const peer of gateway.peers.values()) {
-			addresses.set(peer.address, Math.max(addresses.get(peer.address) ?? 0, peer.heardAt));
+			addresses.set(peer.address, Math.max(addresses.get(peer.address) ?? 0, peer.receivedAt));
 		}
 
 		for (const [address, since] of unconfirmed) {
 			addresses.set(address, since);
 		}
 
-		for (const [address, heardAt] of addresses) {
-			if (heardAt >= now() - quietAfterMs || rounds % quietRoundInterval === 0) {
+		for (const [address, receivedAt] of addresses) {
+			if (receivedAt >= now() - quietAfterMs || rounds % quietRoundInterval === 0) {
 				sendReport(address, ownReport);
 			}
 		}
@@ -268,7 +268,7 @@
 	/** Aggregates the reports of this daemon's zone, and sends the sum to the relays of other zones and the total of all zones to the daemons of its own zone. */
 	const relayReports = (): void => {
 		const since = now() - peerExpiryMs;
-		const isFresh = ({heardAt}: {readonly heardAt: number}): boolean => heardAt >= since;
+		const isFresh = ({receivedAt}: {readonly receivedAt: number}): boolean => receivedAt >= since;
 		const others = [...zoneReports.values()];
 		const sum = sumReports(ownReport, others.filter(entry => isFresh(entry)).map(({report}) => report), others.filter(entry => !isFresh(entry)).map(({report}) => report));
 		recordPeer(toPeerReport(subtractReport(sum, ownReport)));
@@ -285,8 +285,8 @@
 		const total = sumZones(sum, otherZoneSums.filter(entry => isFresh(entry)), otherZoneSums.filter(entry => !isFresh(entry)));
 		const isInZone = (id: string): boolean => gateway.registry.byId.get(id)?.entry.availabilityZone === ownZone;
 		const totalForZone = isOwnZoneOnly ? filterLoads(total, isInZone) : total;
-		for (const {report, heardAt} of others) {
-			if (heardAt >= since) {
+		for (const {report, receivedAt} of others) {
+			if (receivedAt >= since) {
 				sendReport(report.address, totalForZone);
 			}
 		}
@@ -318,7 +318,7 @@
 			sendToAllPeers();
 		}
 
-		const fresh = [...gateway.peers.values()].filter(peer => peer.heardAt >= now() - peerExpiryMs);
+		const fresh = [...gateway.peers.values()].filter(peer => peer.receivedAt >= now() - peerExpiryMs);
 		gateway.clocks.applyPeerOffsets(fresh.map(peer => peer.clockOffset));
 		gateway.metrics.peers.set(fresh.reduce((sum, peer) => sum + peer.daemons, 0));
 		sumOtherLoads(gateway);
@@ -338,7 +338,7 @@
 
 	const determineStoreRole = (): StoreRole => {
 		const since = now() - readerTimeoutMs;
-		const reporting = [...gateway.peers.values()].filter(peer => peer.heardAt >= since);
+		const reporting = [...gateway.peers.values()].filter(peer => peer.receivedAt >= since);
 		if (!needsRelays(members.size)) {
 			return computeStoreRole({self, reporting, relays: []});
 		}
--- a/packages/gateway/src/peers/make-report.ts
+++ b/packages/gateway/src/peers/make-report.ts
@@ -9,10 +9,10 @@
 /** Number of usage windows in a report: the current one and those whose usage report may still be due. */
 const reportedWindowCount = 3;
 
-/** Limit on the number of requests in a report that recently crashed backend servers. Such a request is usually sent again within seconds. */
+/** Maximum number of requests in a report that recently crashed backend servers. Such a request is usually sent again within seconds. */
 const maxReportedCrashes = 20;
 
-/** With less prompt processing time than this, a measurement says too little about a backend server's speed to be reported. */
+/** Minimum measured prefill time. Shorter measurements are too inaccurate to report a backend server's speed. */
 const minReportedMs = 10;
 
 const roundAmounts = (amounts: Iterable<readonly [string, number]>): Record<string, number> =>
@@ -28,7 +28,7 @@
 	const now = gateway.clocks.steady();
 	const loads: Array<[string, number[]]> = [];
 	for (const state of registry.byId.values()) {
-		const {tokens, ms} = decayPrefillRecord(state.reading, now);
+		const {tokens, ms} = decayPrefillRecord(state.prefill, now);
 		if (state.running > 0 || ms >= minReportedMs) {
 			loads.push([state.entry.id, [state.running, ...state.pendingTokens, tokens, ms].map(amount => Math.round(amount))]);
 		}
@@ -51,6 +51,6 @@
 		work: roundAmounts([...gateway.workRates].map(([service, rate]) => [service, computeWorkRate(rate, now)] as const)),
 		leaseOffset,
 		trueTime: gateway.clocks.trueTime(),
-		crashes: Object.fromEntries([...gateway.crashes.crashedIncarnations].slice(-maxReportedCrashes).map(([digest, ended]) => [digest, [...ended]])),
+		crashes: Object.fromEntries([...gateway.crashes.crashedIncarnations].slice(-maxReportedCrashes).map(([digest, incarnations]) => [digest, [...incarnations]])),
 	};
 };
--- a/packages/gateway/src/peers/query-peers.ts
+++ b/packages/gateway/src/peers/query-peers.ts
@@ -19,7 +19,7 @@
 /** Time beyond the usual age after which state that no report has confirmed is requested from a peer. */
 const unconfirmedMarginMs = 500;
 
-/** Share of queries that go to the best source. The rest go to other sources, which reveals when the best one is out of date. */
+/** Share of queries that go to the best source. The rest go to other sources, so that an outdated best source is detected. */
 const bestSourceShare = 0.8;
 
 /** Timeouts for the response headers and for the whole body. The list of thousands of backend servers takes several megabytes. */
@@ -92,19 +92,19 @@
 
 const listPeerAddresses = (gateway: GatewayState): string[] => {
 	const since = gateway.clocks.steady() - peerExpiryMs;
-	const heard = [...gateway.peers.values()].filter(peer => peer.heardAt >= since).map(peer => peer.address);
+	const addresses = [...gateway.peers.values()].filter(peer => peer.receivedAt >= since).map(peer => peer.address);
 	const seeds = gateway.settings.peers.seeds.filter(address => address !== gateway.settings.listen.peers);
-	return heard.length > 0 ? heard : seeds;
+	return addresses.length > 0 ? addresses : seeds;
 };
 
-/** When all daemons start for the first time there are no callers yet. Daemons first wait to discover each other, then for the state that the reading daemon has loaded. */
+/** When all daemons start for the first time there are no callers yet. Daemons first wait to discover each other, then for the state that the daemon that reads the store has loaded. */
 const firstDiscoveryMs = 1500;
 const firstLoadMs = 6000;
 
 const isWithinFirstStart = ({gateway}: SharedStateOptions, ms: number): boolean =>
 	gateway.settings.instance.firstStart && gateway.clocks.steady() < gateway.startedAt + ms;
 
-/** Whether this daemon's state is older than it would be with working sources. */
+/** Whether this daemon's state is so old that its sources must have failed. */
 const isStale = (options: SharedStateOptions): boolean => {
 	if (isWithinFirstStart(options, firstLoadMs)) {
 		return false;
@@ -170,7 +170,7 @@
 
 export type PeerQuerier = {
 	/** Compares a peer's state with this daemon's, and queries the peer if it has newer state. */
-	readonly handleStoreKnowledge: (known: StoreVersions, address: string) => void;
+	readonly handleStoreVersions: (known: StoreVersions, address: string) => void;
 };
 
 /** Queries the daemons that read the store on behalf of this one for new state, or any peer while this daemon's state is stale. */
@@ -201,7 +201,7 @@
 
 	void queryWhileOutOfDate();
 	return {
-		handleStoreKnowledge(known, address) {
+		handleStoreVersions(known, address) {
 			confirmFreshness(options, known);
 			const isNewer = known.configurationVersion > (gateway.configuration?.configuration.version ?? -1)
 				|| known.members > options.members.list().length
--- a/packages/gateway/src/peers/relay-monitor.ts
+++ b/packages/gateway/src/peers/relay-monitor.ts
@@ -2,7 +2,7 @@
 import {type GossipMember} from '@shallotpass/core/gossip/pick-relays.js';
 import {type GatewayState} from '../gateway-state.js';
 
-/** A relay that receives reports but sends none for this long is skipped, and tried again after the second delay. */
+/** A relay that receives reports but sends none for this long is skipped, and used again after the second delay. */
 const relayTimeoutMs = 1500;
 const skipRelayMs = 8000;
 
@@ -23,12 +23,12 @@
 	/** Address of the preferred relay, and since when it is preferred. */
 	let preferredRelay: string | undefined;
 	let preferredSince = 0;
-	const heardAt = new Map<string, number>();
+	const receivedAt = new Map<string, number>();
 	const skippedUntil = new Map<string, number>();
 	const now = (): number => gateway.clocks.steady();
 	return {
 		recordReport(address) {
-			heardAt.set(address, now());
+			receivedAt.set(address, now());
 		},
 		isSkipped: address => (skippedUntil.get(address) ?? 0) > now(),
 		checkFirstRelay(first) {
@@ -43,12 +43,12 @@
 
 			// The second relay stays silent while it receives reports from the first, so only the first is checked,
 			// and only for the time since it became the preferred one.
-			const silentMs = now() - Math.max(preferredSince, heardAt.get(first.address) ?? 0);
+			const silentMs = now() - Math.max(preferredSince, receivedAt.get(first.address) ?? 0);
 			if (silentMs > relayTimeoutMs) {
 				skippedUntil.set(first.address, now() + skipRelayMs);
 				gateway.log.write('state', 'relay_passed_over', {address: first.address, silentMs: Math.round(silentMs)});
 			}
 		},
-		findActiveRelay: relays => relays.find(({address}) => address === ownAddress || (heardAt.get(address) ?? 0) >= now() - activeRelayTimeoutMs),
+		findActiveRelay: relays => relays.find(({address}) => address === ownAddress || (receivedAt.get(address) ?? 0) >= now() - activeRelayTimeoutMs),
 	};
 };
--- a/packages/gateway/src/peers/shared-state.ts
+++ b/packages/gateway/src/peers/shared-state.ts
@@ -45,7 +45,7 @@
 };
 
 /** Versions and ages of this daemon's copy of the store, for other daemons to compare. */
-export const getStoreKnowledge = ({gateway, directory, members}: Pick<SharedStateOptions, 'gateway' | 'directory' | 'members'>): StoreVersions => {
+export const getStoreVersions = ({gateway, directory, members}: Pick<SharedStateOptions, 'gateway' | 'directory' | 'members'>): StoreVersions => {
 	const {directory: {next}, digest, ageMs} = directory.read();
 	return {
 		configurationVersion: gateway.configuration?.configuration.version ?? -1,
@@ -58,7 +58,7 @@
 };
 
 const makeSharedState = (options: SharedStateOptions, query: SharedStateQuery): SharedState => {
-	const {members: memberCount, ...known} = getStoreKnowledge(options);
+	const {members: memberCount, ...known} = getStoreVersions(options);
 	const configuration = options.gateway.configuration?.configuration;
 	const hasOtherBackends = known.directoryNext > query.directoryNext && known.directoryDigest !== query.directoryDigest;
 	return {
--- a/packages/gateway/src/peers/sum-other-loads.ts
+++ b/packages/gateway/src/peers/sum-other-loads.ts
@@ -11,22 +11,22 @@
 const updateServiceSpeeds = ({registry, clocks}: GatewayState): void => {
 	const now = clocks.steady();
 	for (const [service, states] of registry.byService) {
-		const readings = states.flatMap(state => [decayPrefillRecord(state.reading, now), state.othersReading]);
-		registry.paces.set(service, {...(registry.paces.get(service) ?? defaultLatencyModel), tokensPerMs: computeServiceSpeed(readings)});
+		const samples = states.flatMap(state => [decayPrefillRecord(state.prefill, now), state.othersPrefill]);
+		registry.latencyModels.set(service, {...(registry.latencyModels.get(service) ?? defaultLatencyModel), tokensPerMs: computeServiceSpeed(samples)});
 	}
 };
 
-/** Sums the running calls, pending prompt tokens and speed measurements of the other daemons for each backend server. */
+/** Sums the running calls, pending prompt tokens and prefill measurements of the other daemons for each backend server. */
 export const sumOtherLoads = (gateway: GatewayState): void => {
 	const since = gateway.clocks.steady() - maxLoadAgeMs;
 	for (const state of gateway.registry.byId.values()) {
 		state.othersRunning = 0;
 		state.othersPendingTokens.fill(0);
-		state.othersReading = emptyPrefillSample;
+		state.othersPrefill = emptyPrefillSample;
 	}
 
 	for (const peer of gateway.peers.values()) {
-		if (peer.heardAt < since) {
+		if (peer.receivedAt < since) {
 			continue;
 		}
 
@@ -39,7 +39,7 @@
 			}
 
 			state.othersRunning += running ?? 0;
-			state.othersReading = {tokens: state.othersReading.tokens + tokens, ms: state.othersReading.ms + ms};
+			state.othersPrefill = {tokens: state.othersPrefill.tokens + tokens, ms: state.othersPrefill.ms + ms};
 			for (const [rank, tokens] of pending.entries()) {
 				state.othersPendingTokens[rank] = (state.othersPendingTokens[rank] ?? 0) + tokens;
 			}
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -53,34 +53,36 @@
 	| {readonly kind: 'none_offered'}
 	| {readonly kind: 'failed'; readonly reason: string; readonly isKnown: boolean};
 
-export type DutyAuthority = {
+/** Proof that the sender holds the lease, sent with each request to the cloud API. */
+export type LeaseAuthority = {
 	readonly holder: string;
+	/** Fencing token of the lease. */
 	readonly fence: number;
 };
 
 export type Cloud = {
-	readonly reportUsage: (authority: DutyAuthority, window: number, counts: Readonly<Record<string, number>>, options: CallOptions) => Promise<CloudReply>;
-	readonly orderBackends: (authority: DutyAuthority, order: BackendOrder, options: CallOptions) => Promise<CloudReply>;
+	readonly reportUsage: (authority: LeaseAuthority, window: number, counts: Readonly<Record<string, number>>, options: CallOptions) => Promise<CloudReply>;
+	readonly orderBackends: (authority: LeaseAuthority, order: BackendOrder, options: CallOptions) => Promise<CloudReply>;
 };
 
-/** Location of the memory (the KV cache) of a stopped run. */
-export type MovedMemory = {
+/** Location of the KV cache of a stopped run. */
+export type MovedKvCache = {
 	/** Address of the backend server that holds it. */
 	readonly from: string;
 	readonly handle: string;
 };
 
 export type MoveReply =
-	/** The run was stopped, and its memory was copied to the other backend server. */
-	| {readonly kind: 'moved'; readonly memory: MovedMemory}
-	/** The run was stopped, but its memory was not copied and remains where it is. */
-	| {readonly kind: 'kept'; readonly memory: MovedMemory}
+	/** The run was stopped, and its KV cache was copied to the other backend server. */
+	| {readonly kind: 'moved'; readonly kvCache: MovedKvCache}
+	/** The run was stopped, but its KV cache was not copied and remains where it is. */
+	| {readonly kind: 'kept'; readonly kvCache: MovedKvCache}
 	| {readonly kind: 'not_running'}
-	/** The run may have been stopped. The location of its memory is unknown. */
+	/** The run may have been stopped. The location of its KV cache is unknown. */
 	| {readonly kind: 'failed'; readonly reason: string};
 
 export type Engines = {
-	/** Stops a run and copies its memory to another backend server. */
+	/** Stops a run and copies its KV cache to another backend server. */
 	readonly stopAndMove: (
 		source: {readonly address: string; readonly agent: Agent},
 		move: {readonly callId: string; readonly to: string},
@@ -115,8 +117,8 @@
 	readonly rank: number | undefined;
 	/** Id of the last event that the caller received, if a stream is resumed. */
 	readonly lastEventId: string | undefined;
-	/** Memory of the run, if it continues on another backend server. */
-	readonly memory: MovedMemory | undefined;
+	/** KV cache of the run, if it continues on another backend server. */
+	readonly kvCache: MovedKvCache | undefined;
 };
 
 /** Response headers of a backend server that the gateway evaluates. */
--- a/packages/gateway/src/start-gateway.ts
+++ b/packages/gateway/src/start-gateway.ts
@@ -20,7 +20,7 @@
 import {makeOrderPlanner} from './leader/order-planner.js';
 import {startGossip} from './peers/gossip.js';
 import {isServedByPeers, type PeerQuerier, startPeerQueries} from './peers/query-peers.js';
-import {getStoreKnowledge, listenForPeers, type SharedStateOptions} from './peers/shared-state.js';
+import {getStoreVersions, listenForPeers, type SharedStateOptions} from './peers/shared-state.js';
 import {type Platform, type Topic} from './ports.js';
 
 /** Interval between checks for calls in flight while the daemon drains. */
@@ -144,9 +144,9 @@
 	});
 	const gossip = await startGossip({
 		gateway: state, platform, signal,
-		getReportInput: members => ({leaseOffset: components.leaderTask?.getLeaseOffset() ?? -1, known: getStoreKnowledge({gateway: state, directory, members})}),
-		onStoreKnowledge(known, address) {
-			components.peerQuerier?.handleStoreKnowledge(known, address);
+		getReportInput: members => ({leaseOffset: components.leaderTask?.getLeaseOffset() ?? -1, known: getStoreVersions({gateway: state, directory, members})}),
+		onStoreVersions(known, address) {
+			components.peerQuerier?.handleStoreVersions(known, address);
 		},
 	});
 	components.leaderTask = startLeaderTask({
--- a/packages/gateway/src/store/follow-directory.ts
+++ b/packages/gateway/src/store/follow-directory.ts
@@ -55,7 +55,7 @@
 	let directory = emptyDirectory;
 	let digest = digestDirectory(directory);
 	let isStoreUnavailable = false;
-	/** Until this time, entries may be missing only because of an outage of the store. */
+	/** End of the grace period in which entries may be missing only because of an outage of the store. */
 	let expiryGraceUntil = 0;
 	/** When this daemon's directory was last confirmed to be up to date, and when that of any peer was. */
 	let freshAt = Number.NEGATIVE_INFINITY;
@@ -113,7 +113,7 @@
 				if (isStoreUnavailable || wasStale) {
 					isStoreUnavailable = false;
 					// If the store was available to other daemons, entries did not expire because of an outage:
-					// a removed backend server has really left and must get no more calls.
+					// a removed backend server has shut down and must get no more calls.
 					const wasAwayForAll = now() > peerFreshAt + peerFreshMs;
 					expiryGraceUntil = wasAwayForAll ? now() + entryRewriteMs : 0;
 					gateway.log.write('state', 'store_regained', {topic: 'directory', wasAwayForAll});
--- a/packages/gateway/src/telemetry/event-log.ts
+++ b/packages/gateway/src/telemetry/event-log.ts
@@ -1,6 +1,6 @@
 /**
- * Structured logging to standard output with a rate limit per event. Writing never blocks: lines that
- * a slow reader leaves no buffer space for are dropped and counted.
+ * Structured logging to standard output with a rate limit per event. Writing never blocks: if a slow
+ * reader fills the buffer, further lines are dropped and counted.
  */
 import {performance} from 'node:perf_hooks';
 import pino from 'pino';
--- a/packages/gateway/src/telemetry/gateway-metrics.ts
+++ b/packages/gateway/src/telemetry/gateway-metrics.ts
@@ -18,7 +18,7 @@
 	readonly attempts: Counter<'service' | 'outcome'>;
 	readonly storeCalls: Counter<'topic' | 'outcome'>;
 	readonly dependencyAge: Gauge<'dependency'>;
-	readonly duties: Counter<'duty' | 'outcome'>;
+	readonly cloudRequests: Counter<'duty' | 'outcome'>;
 	readonly peers: Gauge;
 	readonly activeCalls: Gauge;
 };
@@ -57,7 +57,7 @@
 				}
 			},
 		}),
-		duties: new Counter({
+		cloudRequests: new Counter({
 			name: 'shallotpass_gateway_duties_total', help: 'Calls of the duties by outcome', labelNames: ['duty', 'outcome'], registers,
 		}),
 		peers: new Gauge({name: 'shallotpass_gateway_peers', help: 'Other daemons that were heard lately', registers}),
