--- a/packages/tasks/src/backend-registry.ts
+++ b/packages/tasks/src/backend-registry.ts
@@ -31,14 +31,14 @@
 	leavesAt: number | undefined;
 	/** Aborted when the calls that run on the backend server must move to another one. */
 	leaving: AbortController;
-	/** When this daemon sent calls that the newest load report does not include. */
+	/** Send times of this daemon's calls that the newest load report does not include. */
 	sentTimes: number[];
 	concurrency: ConcurrencyLimit;
 };
 
 /** A call that was sent to a backend server. */
 export type CallStart = {
-	/** Estimated number of prompt tokens that the engine has to process because they are not cached. */
+	/** Estimated number of prompt tokens that the engine has to prefill because they are not cached. */
 	readonly promptTokens: number;
 	/** Whether the call has a latency target. */
 	readonly isUrgent: boolean;
@@ -52,18 +52,18 @@
 	/** Applies a reclaim notice. Calls that run on the backend server are moved before `leavesAt`. */
 	readonly applyLeavingNotice: (id: string, leavesAt: number | undefined) => void;
 	readonly applyLoadReport: (id: string, report: LoadReport) => void;
-	/** Applies cache events reported by an engine. They correct what was inferred from this daemon's own calls. */
+	/** Applies cache events reported by an engine. They correct the estimate that is based on this daemon's own calls. */
 	readonly applyCacheEvents: (id: string, events: readonly CacheEvent[]) => void;
-	/** Discards what is known of the engine's cache, for example after a restart. */
-	readonly forgetCache: (id: string) => void;
+	/** Removes the prompt prefixes that the engine was known to have cached, for example after a restart. */
+	readonly clearCachedPrefixes: (id: string) => void;
 	/** Selects a backend server by the routing policy; undefined if none is available. */
 	readonly choose: (call: RoutedCall) => BackendView | undefined;
 	/** Records that a call was sent to the backend server. Each call of `begin` is followed by one of `end`. */
 	readonly begin: (id: string, start?: CallStart) => void;
-	/** Records that the engine has processed the prompt tokens of a call. */
+	/** Records that the engine has prefilled the prompt tokens of a call. */
 	readonly recordPromptProcessed: (id: string, promptTokens: number) => void;
 	readonly end: (id: string, isUrgent?: boolean) => void;
-	/** Records a measured speed and the prompt prefix that the engine has cached by now. */
+	/** Records a measured speed and the prompt prefix that the engine has cached. */
 	readonly recordSpeedSample: (id: string, sample: SpeedSample, chain: readonly bigint[]) => void;
 	/** Sends no new calls to the backend server for a short time. */
 	readonly avoid: (id: string) => void;
@@ -76,7 +76,7 @@
 	readonly isLeaving: (id: string) => boolean;
 	/** Counts the backend servers that serve the service and are not leaving. */
 	readonly countServing: (serviceId: string) => number;
-	/** Returns how many calls of the service may run at once: the sum of its backend servers' concurrency limits. */
+	/** Returns the number of slots for calls of the service: the sum of the concurrency limits of its backend servers. */
 	readonly countSlots: (serviceId: string) => number;
 };
 
@@ -97,7 +97,7 @@
 const maxKnownBlocks = 20_000;
 
 /** Number of recent send times kept per backend server, to count the calls that a load report does not include yet. */
-const maxRememberedSends = 1024;
+const maxRecordedSends = 1024;
 
 /** Creates a controller without a listener limit, because every call that runs on the backend server listens to its signal. */
 const makeLeavingController = (): AbortController => {
@@ -274,7 +274,7 @@
 				(kind === 'stored' ? recordPrefix : removeBlocks)(prefixes, id, blocks);
 			}
 		},
-		forgetCache(id) {
+		clearCachedPrefixes(id) {
 			removeBackend(prefixes, id);
 		},
 		choose(call) {
@@ -294,7 +294,7 @@
 				return;
 			}
 
-			entry.sentTimes = [...entry.sentTimes.slice(-maxRememberedSends), clock.now()];
+			entry.sentTimes = [...entry.sentTimes.slice(-maxRecordedSends), clock.now()];
 			const {view} = entry;
 			entry.view = {
 				...view, running: view.running + 1, pendingTokens: view.pendingTokens + promptTokens, urgentCalls: view.urgentCalls + (isUrgent ? 1 : 0), sentSinceReport: view.report === undefined ? 0 : view.sentSinceReport + 1,
--- a/packages/tasks/src/claim-service.ts
+++ b/packages/tasks/src/claim-service.ts
@@ -48,7 +48,7 @@
 	readonly hop: Hop | undefined;
 };
 
-/** How long to wait for one peer, such as the writer, before the next route is tried. */
+/** How long to wait for one peer, such as the writer, before the next route is attempted. */
 const peerTimeoutMs = 600;
 
 /** Number of other peers to ask when neither the writer nor the log responds. */
@@ -82,11 +82,11 @@
 		return shard;
 	};
 
-	/** Lists the daemons to try in order: the writer, this daemon, then a few random peers. */
+	/** Lists the daemons through which a claim is attempted, in order: the writer, this daemon, then a few random peers. */
 	const listRoutes = (stream: string): string[] => {
 		const self = membership.getSelf().id;
 		const reachable = membership.listReachable();
-		// Only steady members are considered, because a leaving writer would soon stop responding.
+		// Only assignable members are considered, because a leaving writer would soon stop responding.
 		const writer = pickClaimWriter(stream, membership.listSteady()) ?? self;
 		const others = reachable
 			.filter(id => id !== writer && id !== self)
@@ -130,7 +130,7 @@
 				break;
 			}
 
-			lastAnswer = await claimThrough(id, {...query, stream}); // eslint-disable-line no-await-in-loop -- the next route is tried only if this one is unavailable
+			lastAnswer = await claimThrough(id, {...query, stream}); // eslint-disable-line no-await-in-loop -- the next route is attempted only if this one is unavailable
 			if (lastAnswer.kind !== 'unavailable') {
 				return lastAnswer;
 			}
@@ -163,7 +163,7 @@
 		const stream = pickClaimStream(makeKeyName(claim));
 		const giveUpAt = claim.answerBy + outcomeRetryWindowMs;
 		for (let attempts = 0; clock.now() < giveUpAt && !signal.aborted; attempts++) {
-			/* eslint-disable no-await-in-loop -- routes are tried one at a time */
+			/* eslint-disable no-await-in-loop -- routes are attempted one at a time */
 			for (const id of listRoutes(stream)) {
 				if (await recordThrough(id, stream, claim, outcome)) {
 					return true;
--- a/packages/tasks/src/claim-shard.ts
+++ b/packages/tasks/src/claim-shard.ts
@@ -45,12 +45,12 @@
 const maxItemsPerAppend = 500;
 
 /**
- * Applies a record with the monotonic time at which it was read, which decides when its keys expire.
- * With wall-clock time, a clock set forward would expire keys that were just used, and resending
- * such a call would run it again. A daemon that reads a record late keeps its keys longer than
- * promised, which only costs memory.
+ * Applies a record with its read time on the steady clock, which decides when its keys expire.
+ * With the time of day, a clock set forward would expire keys that were just used, and resending
+ * such a call would run it again. A daemon that reads a record late keeps its keys longer than the
+ * retention period, which only costs memory.
  */
-const foldWithReadTime = (state: ClaimState, record: Pick<LogRecord, 'offset' | 'record'>): ClaimState =>
+const applyWithReadTime = (state: ClaimState, record: Pick<LogRecord, 'offset' | 'record'>): ClaimState =>
 	applyClaimRecord(state, {...record, appendedAt: performance.now()});
 
 const makeUnavailable = (detail: string): ClaimAnswer => ({kind: 'unavailable', detail});
@@ -62,13 +62,13 @@
 	const pendingClaims: Array<Pending<Claim>> = [];
 	const pendingOutcomes: Array<Pending<Outcome>> = [];
 	let isFlushing = false;
-	let lastReading: Promise<void> = Promise.resolve();
-	/** Latest known log time, with the monotonic time at which it was noted. Starts from the local clock until a record has been read. */
+	let lastRead: Promise<void> = Promise.resolve();
+	/** Latest known log time, with the time on the steady clock at which it was read. Starts from the local time of day until a record has been read. */
 	let logTime = {at: clock.now(), readAt: performance.now(), isFromLog: false};
 
 	/**
 	 * Estimates the current time of the log; the estimate may lag but does not run ahead. It decides how long
-	 * keys are unsafe after a trim. With the wall clock, a clock set forward would end that period immediately.
+	 * keys are unsafe after a trim. With the local time of day, a clock set forward would end that period immediately.
 	 */
 	const getLogTime = (): number => logTime.at + (performance.now() - logTime.readAt);
 
@@ -106,7 +106,7 @@
 			/* eslint-enable no-await-in-loop */
 			for (const record of result.records) {
 				updateLogTime(record.appendedAt);
-				state = foldWithReadTime(state, record);
+				state = applyWithReadTime(state, record);
 			}
 
 			if (result.records.length === 0) {
@@ -128,9 +128,9 @@
 
 	/** Runs reads one at a time. Each caller gets a read that starts after its call, so it sees all earlier appends. */
 	const catchUp = async (): Promise<void> => {
-		const nextReading = readAfter(lastReading);
-		lastReading = nextReading;
-		await nextReading;
+		const nextRead = readAfter(lastRead);
+		lastRead = nextRead;
+		await nextRead;
 	};
 
 	const evaluateClaim = (claim: Claim): ClaimDecision => decideClaim({
@@ -147,15 +147,15 @@
 		return outcome?.kind === 'answered' ? outcome.answer : undefined;
 	};
 
-	const toAnswer = async (verdict: ClaimDecision, claim: Claim): Promise<ClaimAnswer> => {
-		switch (verdict.kind) {
+	const toAnswer = async (decision: ClaimDecision, claim: Claim): Promise<ClaimAnswer> => {
+		switch (decision.kind) {
 			case 'answered': {
-				const answer = await readAnswer(verdict.outcomeOffset, claim);
+				const answer = await readAnswer(decision.outcomeOffset, claim);
 				return answer === undefined ? {kind: 'answered_not_kept'} : {kind: 'answered', answer};
 			}
 
 			case 'running': {
-				return {kind: 'running', owner: verdict.claim.owner, answerBy: verdict.claim.answerBy};
+				return {kind: 'running', owner: decision.claim.owner, answerBy: decision.claim.answerBy};
 			}
 
 			case 'absent': {
@@ -167,7 +167,7 @@
 			case 'answered_not_kept':
 			case 'unknown':
 			case 'unsafe': {
-				return verdict;
+				return decision;
 			}
 		}
 	};
@@ -187,21 +187,21 @@
 	};
 
 	const isClaimInLog = (claim: Claim): boolean => {
-		const verdict = evaluateClaim(claim);
-		return verdict.kind !== 'absent' && verdict.kind !== 'unsafe';
+		const decision = evaluateClaim(claim);
+		return decision.kind !== 'absent' && decision.kind !== 'unsafe';
 	};
 
 	/**
 	 * Appends a record and brings the local state up to date with it. If the record directly follows the
 	 * last applied offset, no other writer has appended and the read is skipped. A failed append may still
-	 * have been stored, so the log is read to find out.
+	 * have been stored, so the log is read to determine whether it was.
 	 */
 	const appendAndRead = async (record: unknown): Promise<boolean> => {
 		try {
 			const offset = await log.append({stream, record, signal});
 			metrics.logAppends.inc({stream, result: 'done'});
 			if (offset === state.foldedTo) {
-				state = foldWithReadTime(state, {offset, record});
+				state = applyWithReadTime(state, {offset, record});
 			}
 
 			if (offset < state.foldedTo) {
--- a/packages/tasks/src/configuration-task.ts
+++ b/packages/tasks/src/configuration-task.ts
@@ -26,7 +26,7 @@
 	| {readonly kind: 'versions'; readonly address: string; readonly versions: Readonly<Record<string, number>>}
 	| {readonly kind: 'start'; readonly offer: ConfigurationOffer}
 	| {readonly kind: 'settle'}
-	| {readonly kind: 'restate'; readonly place: number};
+	| {readonly kind: 'restate'; readonly memberIndex: number};
 
 type Effect =
 	| {readonly kind: 'accepted'; readonly accepted: AcceptedConfiguration}
@@ -69,13 +69,13 @@
 	readonly listPeerAddresses: () => readonly string[];
 	/** Returns the zero-based position of this daemon in the list of members. */
 	readonly getMemberIndex: () => number;
-	/** Whether this daemon follows the log on behalf of its availability zone. The zone's other daemons learn of changes from it. */
+	/** Whether this daemon follows the log on behalf of its availability zone. The zone's other daemons receive changes from it. */
 	readonly isZoneReader: () => boolean;
 	/** Announces a newly accepted version to some peers immediately. */
 	readonly announceVersions: () => void;
 };
 
-/** How often daemons that are not zone readers poll the log, in case every zone reader fails or is misled. */
+/** How often daemons that are not zone readers poll the log, in case every zone reader fails or has outdated state. */
 const backupPollIntervalMs = 5000;
 
 /** How often the task checks for accepted configurations that must be appended again before the log trims them. */
@@ -94,7 +94,7 @@
 	effects: listNewlyAccepted(state.configuration, configuration),
 });
 
-const foldLogEvent = (state: TaskState, event: LogEvent): Step<TaskState, Effect> => {
+const applyLogEvent = (state: TaskState, event: LogEvent): Step<TaskState, Effect> => {
 	switch (event.kind) {
 		case 'record': {
 			return makeStep(state, applyConfigurationRecord(state.configuration, event.record));
@@ -114,10 +114,10 @@
 	}
 };
 
-const foldMessage = (now: () => number) => (state: TaskState, message: Message): Step<TaskState, Effect> => {
+const applyMessage = (now: () => number) => (state: TaskState, message: Message): Step<TaskState, Effect> => {
 	switch (message.kind) {
 		case 'log': {
-			return foldLogEvent(state, message.event);
+			return applyLogEvent(state, message.event);
 		}
 
 		case 'offer': {
@@ -138,7 +138,7 @@
 
 		case 'restate': {
 			const records = planRestatements({
-				state: state.configuration, now: now(), ageMs: restatementAgeMs, memberIndex: message.place,
+				state: state.configuration, now: now(), ageMs: restatementAgeMs, memberIndex: message.memberIndex,
 			});
 			return {state, effects: records.map(record => ({kind: 'append', record}))};
 		}
@@ -238,7 +238,7 @@
 
 	const task = startTask<TaskState, Message, Effect>({
 		initial: {configuration: emptyConfigurationState, hasReadLog: false},
-		fold: foldMessage(clock.now),
+		fold: applyMessage(clock.now),
 		perform,
 		onError(error) {
 			logger.error('task_failed', {error});
@@ -249,7 +249,7 @@
 	const runRestatements = async (): Promise<void> => {
 		while (!signal.aborted) {
 			await waitQuietly(clock, addMilliseconds(clock.now(), restateIntervalMs), signal); // eslint-disable-line no-await-in-loop
-			task.send({kind: 'restate', place: options.getMemberIndex()});
+			task.send({kind: 'restate', memberIndex: options.getMemberIndex()});
 		}
 	};
 
@@ -315,10 +315,10 @@
 		async catchUp() {
 			try {
 				const {foldedTo} = task.getState().configuration;
-				const reading = await log.read({
+				const result = await log.read({
 					stream: configurationStream, from: foldedTo, limit: readLimit, signal,
 				});
-				for (const record of reading.kind === 'records' ? reading.records : []) {
+				for (const record of result.kind === 'records' ? result.records : []) {
 					task.send({kind: 'log', event: {kind: 'record', record}});
 				}
 			} catch (error) {
--- a/packages/tasks/src/fleet-duty.ts
+++ b/packages/tasks/src/fleet-duty.ts
@@ -1,8 +1,8 @@
 /**
  * Scales the fleet of one availability zone. The daemon that holds the zone's lease decides how many instances
  * run there, writes the decisions to the log as orders, and carries out only the orders that the log shows as valid.
- * A holder that was paused past its lease, or one of two daemons that both believe they hold it, therefore cannot
- * start or end instances without a valid order. An order whose reply was lost is sent again with the same token,
+ * A holder that was paused past its lease, or one of two daemons whose state shows them as the holder, therefore
+ * cannot start or end instances without a valid order. An order whose reply was lost is sent again with the same token,
  * so it starts at most one instance.
  */
 import {randomUUID} from 'node:crypto';
@@ -22,16 +22,16 @@
 /** Current demand and capacity as observed by the lease holder. */
 export type FleetDemand = {
 	readonly offers: readonly Offer[];
-	/** Capacity, in concurrent calls, of backend servers that were not started by an order. */
+	/** Slots of backend servers that were not started by an order. */
 	readonly fixedPlaces: number;
-	/** Capacity, in concurrent calls, that the expected demand requires. */
+	/** Slots that the expected demand requires. */
 	readonly demandPlaces: number;
 };
 
 export type FleetTiming = {
 	readonly roundIntervalMs: number;
 	readonly leaseMs: number;
-	/** A started instance that has not appeared in the cloud's instance list within this time is considered gone. */
+	/** A started instance that does not appear in the cloud's instance list within this time is considered gone. */
 	readonly listingTimeoutMs: number;
 	readonly firstRefusalWaitMs: number;
 	/** Time between announcing that an instance will end and ending it. */
@@ -68,7 +68,7 @@
 };
 
 export const makeFleetDuty = (options: FleetDutyOptions): FleetDuty => {
-	const {environment, log, cloud, plan, availabilityZone, holder, measureDemand: observe, timing, announceEnd} = options;
+	const {environment, log, cloud, plan, availabilityZone, holder, measureDemand, timing, announceEnd} = options;
 	const {clock, signal, random} = environment;
 	const logger = environment.makeLogger('fleet');
 	/** When the cloud confirmed the start of an instance, by order token. */
@@ -82,20 +82,20 @@
 	const readToEnd = async (): Promise<void> => {
 		for (;;) {
 			// eslint-disable-next-line no-await-in-loop -- each read starts where the previous one ended
-			const reading = await log.read({
+			const result = await log.read({
 				stream: fleetStream, from: state.next, limit: readBatchSize, signal,
 			});
-			if (reading.kind === 'trimmed') {
-				state = {...state, next: reading.earliest};
+			if (result.kind === 'trimmed') {
+				state = {...state, next: result.earliest};
 				continue;
 			}
 
-			for (const record of reading.records) {
+			for (const record of result.records) {
 				state = applyFleetRecord(state, record);
 			}
 
-			if (reading.records.length === 0) {
-				state = {...state, next: Math.max(state.next, reading.next) as LogOffset};
+			if (result.records.length === 0) {
+				state = {...state, next: Math.max(state.next, result.next) as LogOffset};
 				return;
 			}
 		}
@@ -117,8 +117,8 @@
 
 	/**
 	 * Renews the lease, or takes it if it is free. Returns it only if this process held it before, so a new holder
-	 * starts planning in the next round. Holders in other zones may be taking their leases in the same round, and
-	 * a plan made without them would place all instances in one zone.
+	 * starts planning in the next round. Holders in other zones may take their leases in the same round, and
+	 * a plan made without them would put all instances into one zone.
 	 */
 	const renewOrTakeLease = async (): Promise<FleetLease | undefined> => {
 		const lease = getOwnLease();
@@ -163,7 +163,7 @@
 		});
 	};
 
-	const tryStart = async (order: FleetOrder): Promise<StartReply | 'unknown'> => {
+	const requestStart = async (order: FleetOrder): Promise<StartReply | 'unknown'> => {
 		try {
 			const reply = await cloud.start({...order, signal});
 			if (reply === 'started') {
@@ -183,7 +183,7 @@
 	/** Sends the zone's open orders to the cloud. Closes orders that the cloud refuses or whose instance has already ended. */
 	const startOrderedInstances = async (lease: FleetLease, running: ReadonlySet<string>): Promise<void> => {
 		const orders = listOpenOrders(running).filter(order => order.availabilityZone === availabilityZone && !isInstanceGone(order) && !startTimes.has(order.token));
-		const results = await Promise.all(orders.map(async order => ({order, reply: await tryStart(order)})));
+		const results = await Promise.all(orders.map(async order => ({order, reply: await requestStart(order)})));
 		const refused = results.filter(result => result.reply === 'refused').map(result => result.order);
 		const refusals = new Map(refused.map(order => [makeOfferKey(order), recordRefusal({
 			known: state.refusals.get(makeOfferKey(order)), offer: order, now: clock.now(), firstWaitMs: timing.firstRefusalWaitMs, random,
@@ -196,7 +196,7 @@
 		await writeOrders(lease, {closed: [...refused, ...ended].map(order => order.token), refusals: [...refusals.values()]});
 	};
 
-	/** Ends instances whose order is closed because they are no longer needed or were started by a holder that had lost its lease. */
+	/** Ends instances whose order is closed, because they are no longer needed or were started by a holder whose lease had expired. */
 	const endClosedInstances = async (instances: readonly CloudInstance[]): Promise<void> => {
 		const unwanted = instances.filter(instance => instance.availabilityZone === availabilityZone && state.orders.get(instance.token)?.isClosed === true);
 		await Promise.all(unwanted.map(async ({id}) => {
@@ -230,7 +230,7 @@
 		const gone = listOpenOrders(running).filter(order => order.availabilityZone === availabilityZone && isInstanceGone(order));
 		await writeOrders(lease, {closed: gone.map(order => order.token)});
 		const now = clock.now();
-		const demand = observe(instances);
+		const demand = measureDemand(instances);
 		environment.metrics.fleetPlaces.set({what: 'needed'}, demand.demandPlaces);
 		environment.metrics.fleetPlaces.set({what: 'fixed'}, demand.fixedPlaces);
 		const {starts, ends} = plan({
@@ -268,18 +268,18 @@
 };
 
 /**
- * Runs rounds until the daemon stops, as long as it is one of the zone's candidates for the lease.
+ * Runs rounds until the daemon stops, as long as it is one of the zone's candidates for the fleet lease.
  * While the log or the cloud API is unreachable, running instances are kept.
  */
 export const runFleetDuty = async (options: FleetDutyOptions, isCandidate: () => boolean): Promise<void> => {
 	const {clock, signal, random, makeLogger} = options.environment;
 	const logger = makeLogger('fleet');
-	const duty = makeFleetDuty(options);
+	const scaler = makeFleetDuty(options);
 	while (!signal.aborted) {
 		/* eslint-disable no-await-in-loop -- rounds run one at a time */
 		try {
 			if (isCandidate()) {
-				await duty.runRound();
+				await scaler.runRound();
 			}
 		} catch (error) {
 			if (signal.aborted) {
--- a/packages/tasks/src/load-reports.ts
+++ b/packages/tasks/src/load-reports.ts
@@ -85,7 +85,7 @@
 			nextEventByAddress.set(view.address, next);
 			// A lower sequence number means that the engine has restarted with an empty cache.
 			if (next < from) {
-				registry.forgetCache(id);
+				registry.clearCachedPrefixes(id);
 				nextEventByAddress.delete(view.address);
 			}
 
@@ -95,7 +95,7 @@
 		}
 	};
 
-	const forgetRemovedEngines = (): void => {
+	const dropRemovedEngines = (): void => {
 		const addresses = new Set(listEngines().map(view => view.address));
 		for (const address of nextEventByAddress.keys()) {
 			if (!addresses.has(address)) {
@@ -105,7 +105,7 @@
 	};
 
 	while (!signal.aborted) {
-		forgetRemovedEngines();
+		dropRemovedEngines();
 		const assigned = listAssignedEngines();
 		const pauseMs = assigned.length > maxEnginesAtFullRate ? readIntervalMs * 2 : readIntervalMs;
 		await Promise.all(assigned.map(async id => readLoadReport(id))); // eslint-disable-line no-await-in-loop
--- a/packages/tasks/src/membership-task.ts
+++ b/packages/tasks/src/membership-task.ts
@@ -41,7 +41,7 @@
 	readonly getSelf: () => MemberUpdate;
 	/** Lists the ids of this daemon and of all reachable members, sorted. */
 	readonly listReachable: () => string[];
-	/** Lists the ids of the members that may be given duties, sorted. */
+	/** Lists the ids of the members that can be assigned tasks, sorted. */
 	readonly listSteady: () => string[];
 	readonly findAddress: (id: string) => string | undefined;
 	readonly listPeers: () => Member[];
@@ -75,7 +75,7 @@
 /** Maximum number of members sent to a new member. */
 const maxIntroducedMembers = 512;
 
-/** The full member list is requested after this many consecutive probes with a different view, and at most once in `minPeriodsBetweenSyncs` periods on average. */
+/** The full member list is requested after this many consecutive probes with a different view, and on average at most once in `minPeriodsBetweenSyncs` periods. */
 const differingProbesBeforeSync = 3;
 const minPeriodsBetweenSyncs = 10;
 
@@ -146,7 +146,7 @@
 	/**
 	 * Counts consecutive probes whose member view differs from this daemon's. An update that is spread while few
 	 * members are known, such as when many daemons start at once, may not reach everyone. A persistent
-	 * difference reveals this, and the full member list is requested.
+	 * difference shows this, and the full member list is requested.
 	 */
 	const trackViewDifference = (view: number): void => {
 		consecutiveDifferences = view === digestMembers(task.getState()) ? 0 : consecutiveDifferences + 1;
--- a/packages/tasks/src/suspect-registry.ts
+++ b/packages/tasks/src/suspect-registry.ts
@@ -16,11 +16,11 @@
 	readonly list: () => Suspect[];
 	/** Applies suspects and cleared fingerprints received from a peer. */
 	readonly merge: (suspects: readonly Suspect[], lifted: readonly string[]) => void;
-	/** Clears a request of suspicion here and at all peers. */
+	/** Clears a request in this daemon's registry and at all peers. */
 	readonly lift: (fingerprint: string) => void;
 	/** Registers a request that runs at a backend server. Call the returned function when the run has ended. */
 	readonly trackRun: (backendId: string, run: SuspectRun) => () => void;
-	/** Checks whether the backend server died after a call to it was cut off. Resolves when the outcome is known. */
+	/** Checks whether the backend server crashed after a call to it was interrupted. Resolves when the outcome is known. */
 	readonly investigate: (backendId: string) => Promise<void>;
 	/** Lists the backend servers reserved for a suspected request; other suspects must use different ones. */
 	readonly listReserved: () => ReadonlySet<string>;
@@ -34,7 +34,7 @@
 	readonly getTokens: () => number;
 };
 
-type SuspectBookOptions = {
+type SuspectRegistryOptions = {
 	readonly environment: Environment;
 	readonly registry: BackendRegistry;
 	/** Sends changes to the peers without waiting for replies. */
@@ -52,18 +52,18 @@
 };
 
 /**
- * How long to wait for further deaths in the same availability zone. Several deaths within a short
- * time indicate that the zone's instances are being reclaimed, not that a request caused them.
+ * How long to wait for further crashes in the same availability zone. Several crashes within a short
+ * time indicate a mass reclaim in the zone, not that a request caused them.
  */
-const waveDetectionMs = 150;
+const massReclaimDetectionMs = 150;
 
-export const makeSuspectRegistry = ({environment, registry, broadcast: spread}: SuspectBookOptions): SuspectRegistry => {
+export const makeSuspectRegistry = ({environment, registry, broadcast}: SuspectRegistryOptions): SuspectRegistry => {
 	const {clock, signal, metrics} = environment;
 	const logger = environment.makeLogger('suspects');
 	const runsByBackend = new Map<string, Set<SuspectRun>>();
 	const investigations = new Map<string, Promise<void>>();
 	const reservationCounts = new Map<string, number>();
-	let deaths: Array<{availabilityZone: string; at: number}> = [];
+	let crashes: Array<{availabilityZone: string; at: number}> = [];
 	let state: SuspectState = new Map();
 
 	const setState = (next: SuspectState): void => {
@@ -71,33 +71,33 @@
 		metrics.suspects.set(state.size);
 	};
 
-	const countZoneDeaths = (availabilityZone: string): number => {
+	const countZoneCrashes = (availabilityZone: string): number => {
 		const now = clock.now();
-		deaths = deaths.filter(death => now - death.at < massReclaimWindowMs);
-		return deaths.filter(death => death.availabilityZone === availabilityZone).length;
+		crashes = crashes.filter(crash => now - crash.at < massReclaimWindowMs);
+		return crashes.filter(crash => crash.availabilityZone === availabilityZone).length;
 	};
 
-	const recordDeathIfConfirmed = async (backendId: string, inFlight: readonly InFlight[]): Promise<void> => {
+	const recordCrashIfConfirmed = async (backendId: string, inFlight: readonly InFlight[]): Promise<void> => {
 		const view = registry.getView(backendId);
 		if (view === undefined || await isAnswering(view.address, signal)) {
 			return;
 		}
 
-		deaths.push({availabilityZone: view.availabilityZone, at: clock.now()});
-		await clock.waitUntil(addMilliseconds(clock.now(), waveDetectionMs), signal);
+		crashes.push({availabilityZone: view.availabilityZone, at: clock.now()});
+		await clock.waitUntil(addMilliseconds(clock.now(), massReclaimDetectionMs), signal);
 		const before = state;
 		setState(markSuspects({
 			state,
 			backendId,
 			inFlight,
-			zoneCrashes: countZoneDeaths(view.availabilityZone),
+			zoneCrashes: countZoneCrashes(view.availabilityZone),
 			wasAnnounced: registry.isLeaving(backendId),
 			now: clock.now(),
 		}));
 		const changed = [...state.values()].filter(suspect => before.get(suspect.fingerprint) !== suspect);
 		logger.warn('backend_died', {backend: backendId, inFlight: inFlight.length, suspects: changed.length});
 		if (changed.length > 0) {
-			spread(changed, []);
+			broadcast(changed, []);
 		}
 	};
 
@@ -105,7 +105,7 @@
 		const inFlight = [...runsByBackend.get(backendId) ?? []].map(run => ({fingerprint: run.fingerprint, tokens: run.getTokens()}));
 		registry.avoid(backendId);
 		try {
-			await recordDeathIfConfirmed(backendId, inFlight);
+			await recordCrashIfConfirmed(backendId, inFlight);
 		} catch (error) {
 			if (!signal.aborted) {
 				logger.error('investigation_failed', {backend: backendId, error});
@@ -134,7 +134,7 @@
 		},
 		lift(fingerprint) {
 			setState(removeSuspect(state, fingerprint));
-			spread([], [fingerprint]);
+			broadcast([], [fingerprint]);
 		},
 		trackRun(backendId, run) {
 			const runs = runsByBackend.get(backendId) ?? new Set<SuspectRun>();
