--- a/packages/callers/src/admission-gate.ts
+++ b/packages/callers/src/admission-gate.ts
@@ -15,17 +15,17 @@
 } from '@shallotpass/core/admission/waiting-queue.js';
 import {type Environment} from '@shallotpass/tasks/environment.js';
 
-export type EntryRequest = {
+export type AdmissionRequest = {
 	readonly id: string;
 	readonly team: string;
 	readonly account: Account;
 	readonly serviceId: string;
 	readonly rank: number;
-	/** Whether the request's class has no latency target. */
+	/** Whether the request's class has no latency target, so that the request uses only spare capacity. */
 	readonly isPatient: boolean;
 	/** Latency target of the request's class for the first token. */
 	readonly firstTokenMs: number | undefined;
-	/** Expected work in tokens, 1 for plain services. */
+	/** Expected cost in tokens, 1 for plain services. */
 	readonly work: number;
 	readonly deadline: Deadline;
 	readonly signal: AbortSignal;
@@ -33,7 +33,7 @@
 
 export type AdmissionGate = {
 	/** Waits for admission. Resolves to a function that releases the slot; rejects if the request is refused. */
-	readonly admit: (request: EntryRequest) => Promise<() => void>;
+	readonly admit: (request: AdmissionRequest) => Promise<() => void>;
 	readonly countRunning: () => number;
 	readonly countWaiting: () => number;
 };
@@ -76,10 +76,10 @@
 export const makeAdmissionGate = ({environment, getCapacity, countMembers}: GateOptions): AdmissionGate => {
 	const {clock, settings, metrics} = environment;
 	const serviceQueues = new Map<string, ServiceQueue>();
-	/** State of the request rate limit by client account. */
-	const requestsPaidAt = new Map<string, number>();
-	/** State of the token rate limit by client account. */
-	const tokensPaidAt = new Map<string, number>();
+	/** Theoretical arrival times of the request rate limit, by client account. */
+	const requestArrivalTimes = new Map<string, number>();
+	/** Theoretical arrival times of the token rate limit, by client account. */
+	const tokenArrivalTimes = new Map<string, number>();
 	let isChecking = false;
 
 	const getServiceQueue = (serviceId: string): ServiceQueue => {
@@ -97,25 +97,25 @@
 
 	const countWaiting = (): number => [...serviceQueues.values()].reduce((sum, serviceQueue) => sum + serviceQueue.queue.entries.length, 0);
 
-	const chargeRateLimit = (paidAtByAccount: Map<string, number>, name: string, amount: number, perSecond: number | undefined): void => {
+	const chargeRateLimit = (arrivalTimes: Map<string, number>, name: string, amount: number, perSecond: number | undefined): void => {
 		if (perSecond === undefined) {
 			return;
 		}
 
 		const now = clock.now();
 		const sharePerSecond = computeLimitShare(perSecond, countMembers());
-		const decision = limitRate(paidAtByAccount.get(name) ?? 0, amount, now, {perSecond: sharePerSecond, burst: Math.max(1, sharePerSecond * burstSeconds)});
+		const decision = limitRate(arrivalTimes.get(name) ?? 0, amount, now, {perSecond: sharePerSecond, burst: Math.max(1, sharePerSecond * burstSeconds)});
 		if (!decision.isAllowed) {
 			throw new ServingError(`client account ${name} is over its limit of ${perSecond} a second`, {kind: 'rate_limited', retryAt: decision.retryAt as Deadline});
 		}
 
-		paidAtByAccount.set(name, decision.theoreticalArrivalAt);
+		arrivalTimes.set(name, decision.theoreticalArrivalAt);
 	};
 
-	const chargeAccountLimits = ({team, account, work}: EntryRequest): void => {
+	const chargeAccountLimits = ({team, account, work}: AdmissionRequest): void => {
 		const name = `${team}/${account.name}`;
-		chargeRateLimit(requestsPaidAt, name, 1, account.requestsPerSecond);
-		chargeRateLimit(tokensPaidAt, name, work, account.tokensPerMinute === undefined ? undefined : account.tokensPerMinute / secondsPerMinute);
+		chargeRateLimit(requestArrivalTimes, name, 1, account.requestsPerSecond);
+		chargeRateLimit(tokenArrivalTimes, name, work, account.tokensPerMinute === undefined ? undefined : account.tokensPerMinute / secondsPerMinute);
 	};
 
 	const rejectWaiter = (serviceQueue: ServiceQueue, id: string, error: ServingError): void => {
@@ -184,7 +184,7 @@
 		isChecking = false;
 	};
 
-	const waitInQueue = async (request: EntryRequest, serviceQueue: ServiceQueue): Promise<void> => new Promise((resolve, reject) => {
+	const waitInQueue = async (request: AdmissionRequest, serviceQueue: ServiceQueue): Promise<void> => new Promise((resolve, reject) => {
 		const onCallerGone = (): void => {
 			if (removeRequest(serviceQueue.queue, request.id)) {
 				rejectWaiter(serviceQueue, request.id, new ServingError('the caller went away', {kind: 'caller_cancelled', executed: 'no'}));
@@ -215,7 +215,7 @@
 			rejectWaiter(serviceQueue, displaced.id, new ServingError('too many requests wait already', {kind: 'over_capacity', retryAt: addMilliseconds(clock.now(), retryAfterMs)}));
 		}
 
-		// A slot may be free that the requests ahead in the queue are not allowed to use.
+		// This request may be allowed to use a free slot that the requests ahead of it in the queue must not use.
 		admitWaiting(request.serviceId, serviceQueue);
 		void runQueueChecks();
 	});
--- a/packages/callers/src/caller-call.ts
+++ b/packages/callers/src/caller-call.ts
@@ -119,5 +119,5 @@
 	? undefined
 	: {firstTokenMs: latency.firstTokenMs, betweenTokensMs: latency.betweenTokensMs};
 
-/** Whether the class is configured without a latency target, so that its calls only use spare capacity. */
-export const isPatient = ({latency}: CallClass): boolean => latency !== undefined && latency.firstTokenMs === undefined;
+/** Whether calls of the class are background calls: it is configured without a latency target, so they use only spare capacity. */
+export const isBackgroundClass = ({latency}: CallClass): boolean => latency !== undefined && latency.firstTokenMs === undefined;
--- a/packages/callers/src/listener.ts
+++ b/packages/callers/src/listener.ts
@@ -41,9 +41,9 @@
 const connectionCheckIntervalMs = 1000;
 
 const servePlain = async (call: CallerCall, services: CallerServices, budgets: RetryBudgets): Promise<string> => {
-	const work = makePlainCallContext(call, services);
-	await (isRepeatable(work.service, work.method) ? serveRepeatable(work, budgets) : serveClaimed(work));
-	return work.serviceId;
+	const context = makePlainCallContext(call, services);
+	await (isRepeatable(context.service, context.method) ? serveRepeatable(context, budgets) : serveClaimed(context));
+	return context.serviceId;
 };
 
 const checkMethod = (request: IncomingMessage, method: string): void => {
--- a/packages/callers/src/plain-call.ts
+++ b/packages/callers/src/plain-call.ts
@@ -9,7 +9,7 @@
 import {findService, makeServiceId, type TeamAccount} from '@shallotpass/tasks/active-configurations.js';
 import {type AttemptSignal} from './attempt-signal.js';
 import {
-	authenticate, checkServiceAccess, isPatient, readClass, readDeadline, type CallClass, type CallerCall,
+	authenticate, checkServiceAccess, isBackgroundClass, readClass, readDeadline, type CallClass, type CallerCall,
 } from './caller-call.js';
 import {type CallerServices} from './services.js';
 
@@ -75,7 +75,7 @@
 			account: context.account.account,
 			serviceId: context.serviceId,
 			rank: context.callClass.rank,
-			isPatient: isPatient(context.callClass),
+			isPatient: isBackgroundClass(context.callClass),
 			firstTokenMs: context.callClass.latency?.firstTokenMs,
 			work: 1,
 			deadline: context.deadline,
@@ -105,7 +105,7 @@
 };
 
 type BackendRun<Result> = {
-	readonly work: PlainCallContext;
+	readonly context: PlainCallContext;
 	readonly backend: BackendView;
 	readonly attemptSignal: AttemptSignal;
 	/** Sends the call. The traceparent lets the backend server continue the trace. */
@@ -113,7 +113,7 @@
 };
 
 /** Runs one call to one backend server and records its load, metrics and trace span. Rethrows errors from `send`. */
-export const runAtBackend = async <Result>({work: context, backend, attemptSignal, send}: BackendRun<Result>): Promise<Result> => {
+export const runAtBackend = async <Result>({context, backend, attemptSignal, send}: BackendRun<Result>): Promise<Result> => {
 	const {registry, environment} = context.services;
 	const hop = context.call.hop.makeChild('backend', {backend: backend.id});
 	registry.begin(backend.id);
@@ -136,10 +136,10 @@
 	}
 };
 
-export const makeNoBackendError = (context: PlainCallContext, wasTried: boolean): ServingError => new ServingError(
-	wasTried ? `no backend server of ${context.service.name} could be reached` : `no backend server serves ${context.service.name} now`,
+export const makeNoBackendError = (context: PlainCallContext, wasAttempted: boolean): ServingError => new ServingError(
+	wasAttempted ? `no backend server of ${context.service.name} could be reached` : `no backend server serves ${context.service.name} now`,
 	{
-		kind: wasTried ? 'backend_unreachable' : 'no_backend',
+		kind: wasAttempted ? 'backend_unreachable' : 'no_backend',
 		retryAt: addMilliseconds(context.services.environment.clock.now(), retryAfterMs),
 	},
 );
--- a/packages/callers/src/probation.test.ts
+++ b/packages/callers/src/probation.test.ts
@@ -82,7 +82,7 @@
 	assert.equal(await acquireProbation(left, 'engine-1', deadline, signal), undefined);
 });
 
-test('an engine whose holder died becomes available to exactly one other daemon', async () => {
+test('an engine whose holder crashed becomes available to exactly one other daemon', async () => {
 	const log = makeFakeLog();
 	const [dead, left, right] = [log.join('dead'), log.join('left'), log.join('right')];
 	await acquireProbation(dead, 'engine-1', deadline, signal);
@@ -93,8 +93,8 @@
 });
 
 test('a suspect waits for a log that recovers soon', async () => {
-	// An engine dies while the log is unavailable for a few seconds. The responses that ran there must pause.
-	// Without retries, each of them was cut off with an error about reservations.
+	// An engine crashes while the log is unavailable for a few seconds. The responses that ran there must pause.
+	// Without retries, each of them was ended with an error about reservations.
 	const log = makeFakeLog();
 	log.isDown = true;
 	log.recoversAt = 5000;
--- a/packages/callers/src/probation.ts
+++ b/packages/callers/src/probation.ts
@@ -1,7 +1,7 @@
 /**
- * Probation: a suspected request runs on an engine without other suspects. If two suspects ran on an engine when it died,
- * both would be convicted although at most one caused it, and the innocent caller would be refused for an hour.
- * Daemons learn of each other's suspects too late, so a claim in the log decides which one may use the engine.
+ * Probation: a suspected request runs on an engine without other suspects. If two suspects ran on an engine when it
+ * crashed, both would be convicted although at most one caused the crash, and the caller of the other would be refused
+ * for an hour. Reports of suspects reach the other daemons too late, so a claim in the log decides which one may use the engine.
  */
 import {makeKeyName} from '@shallotpass/core/claims/claim-state.js';
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
@@ -14,7 +14,7 @@
 	readonly release: () => void;
 };
 
-/** Maximum number of holders of one engine that may have died without releasing it while the log still keeps their claims. */
+/** Maximum number of holders of one engine that may have crashed without releasing it while the log still keeps their claims. */
 const maxLostHolders = 8;
 
 const retryAfterMs = 5000;
@@ -35,7 +35,7 @@
 			}
 
 			case 'unknown': {
-				// The holder died, and its run of the suspect ended with it. All daemons continue with the same next generation.
+				// The holder crashed, and its run of the suspect ended with it. All daemons continue with the same next generation.
 				break;
 			}
 
--- a/packages/callers/src/retry-budgets.ts
+++ b/packages/callers/src/retry-budgets.ts
@@ -7,7 +7,7 @@
 	/** Adds to the budget. Call it once for each request. */
 	readonly earn: (name: string) => void;
 	/** Spends one retry; returns false if none is left. */
-	readonly trySpend: (name: string) => boolean;
+	readonly takeRetry: (name: string) => boolean;
 };
 
 export const makeRetryBudgets = (): RetryBudgets => {
@@ -17,7 +17,7 @@
 		earn(name) {
 			budgets.set(name, earnRetry(get(name)));
 		},
-		trySpend(name) {
+		takeRetry(name) {
 			const budget = get(name);
 			if (!canRetry(budget)) {
 				return false;
--- a/packages/callers/src/second-run.ts
+++ b/packages/callers/src/second-run.ts
@@ -1,6 +1,6 @@
 /**
- * Decides who may run a suspected request again. A request that was in flight when a backend server died may be run
- * once more, by only one daemon. The log decides which one, as it does for non-repeatable calls. At most two backend
+ * Decides who may run a suspected request again. A request that was in flight when a backend server crashed may be
+ * run once more, by only one daemon. The log decides which one, as it does for non-repeatable calls. At most two backend
  * servers therefore crash because of the request, no matter how often and where the caller sends it.
  */
 import {randomUUID} from 'node:crypto';
@@ -16,7 +16,7 @@
 export type SecondRun = {
 	/** Records that the request ran without crashing its backend server, and clears the suspicion. */
 	readonly clear: () => Promise<void>;
-	/** Records that the backend server died again or that the result is unknown, which quarantines the request. */
+	/** Records that the backend server crashed again or that the result is unknown, which quarantines the request. */
 	readonly convict: () => Promise<void>;
 	/** Records that nothing was sent, so that another attempt may acquire the run. */
 	readonly release: () => Promise<void>;
@@ -52,8 +52,8 @@
 };
 
 /**
- * Claims with retries while the log is unavailable. Without them, an engine that dies during a log outage would cut off
- * every response that it was generating. Repeating the same claim is safe: if an earlier attempt was stored
+ * Claims with retries while the log is unavailable. Without them, an engine that crashes during a log outage would
+ * end every response that it was generating. Repeating the same claim is safe: if an earlier attempt was stored
  * unnoticed, the claim still wins.
  */
 export const claimWithRetries = async (services: CallerServices, claim: Claim, deadline: Deadline, signal: AbortSignal): Promise<ClaimAnswer> => {
@@ -106,7 +106,7 @@
 
 			case 'unknown':
 			case 'reused': {
-				// Two placeholder ids, because the merge convicts a request that has two deaths.
+				// Two placeholder ids, because the merge convicts a request with two crashes.
 				suspects.merge([{
 					fingerprint, deaths: ['first', 'second'], isConvicted: true, tokens: 0, forgetAt: clock.now() + keyMemoryMs,
 				}], []);
--- a/packages/callers/src/serve-chat.ts
+++ b/packages/callers/src/serve-chat.ts
@@ -18,7 +18,7 @@
 import {makeFingerprint} from '@shallotpass/tasks/suspect-registry.js';
 import {
 	authenticate,
-	isPatient,
+	isBackgroundClass,
 	readClass,
 	readDeadline,
 	type CallerCall,
@@ -29,15 +29,15 @@
 import {type RetryBudgets} from './retry-budgets.js';
 import {acquireSecondRun, checkQuarantine} from './second-run.js';
 import {type CallerServices} from './services.js';
-import {describeLastError, tryEngine} from './try-engine.js';
-import {trySuspect} from './try-suspect.js';
+import {describeLastError, runEngineAttempt} from './try-engine.js';
+import {runSuspectAttempt} from './try-suspect.js';
 
 const maxAttempts = 6;
 
 /**
  * Maximum number of attempts that fail before anything is sent. They cost a refused connection and put no load
- * on an engine. When a whole availability zone fails, a request may try each of its engines before the instance list
- * reports them gone. Counting these as ordinary attempts exhausted the limit in 2 of 3 runs.
+ * on an engine. When a whole availability zone fails, a request may be sent to each of its engines before the
+ * instance list reports them gone. Counting these as ordinary attempts exhausted the limit in 2 of 3 runs.
  */
 const maxUnsentAttempts = 32;
 
@@ -75,7 +75,7 @@
  * make the caller send the whole request again. A request without any response yet is retried within the budget,
  * so that an outage does not multiply the load.
  */
-const mayTryAgain = (context: ChatContext, progress: ChatProgress, {engine, failure}: AttemptResult): boolean => {
+const canAttemptAgain = (context: ChatContext, progress: ChatProgress, {engine, failure}: AttemptResult): boolean => {
 	if (isUnsent(failure)) {
 		progress.attempts--;
 		progress.unsentAttempts++;
@@ -91,7 +91,7 @@
 	}
 
 	const isContinuation = progress.position.tokens > 0 || context.services.registry.isLeaving(engine.id);
-	return isContinuation || context.budgets.trySpend(context.budgetName);
+	return isContinuation || context.budgets.takeRetry(context.budgetName);
 };
 
 const runAttempt = async (context: ChatContext, progress: ChatProgress): Promise<AttemptResult> => {
@@ -100,7 +100,7 @@
 	if (suspects.get(context.fingerprint) !== undefined) {
 		const secondRun = await acquireSecondRun(context.services, context.fingerprint, context.deadline, context.call.callerGoneSignal);
 		if (secondRun !== undefined) {
-			return trySuspect(context, progress, secondRun);
+			return runSuspectAttempt(context, progress, secondRun);
 		}
 	}
 
@@ -109,7 +109,7 @@
 		environment.metrics.retries.inc({service: context.serviceId});
 	}
 
-	return {engine, failure: await tryEngine(context, progress, engine, () => {/* nothing to clear: the request is not a suspect */})};
+	return {engine, failure: await runEngineAttempt(context, progress, engine, () => {/* nothing to clear: the request is not a suspect */})};
 };
 
 const respondToChat = async (context: ChatContext): Promise<void> => {
@@ -126,7 +126,7 @@
 		}
 
 		progress.excluded.add(engine.id);
-		if (!mayTryAgain(context, progress, {engine, failure})) {
+		if (!canAttemptAgain(context, progress, {engine, failure})) {
 			checkQuarantine(context.services, context.fingerprint);
 			throw describeLastError(failure);
 		}
@@ -174,7 +174,7 @@
 		account: account.account,
 		serviceId,
 		rank: context.callClass.rank,
-		isPatient: isPatient(context.callClass),
+		isPatient: isBackgroundClass(context.callClass),
 		firstTokenMs: context.callClass.latency?.firstTokenMs,
 		work: context.promptTokens + getExpectedTokens(chat),
 		deadline: context.deadline,
--- a/packages/callers/src/serve-claimed.ts
+++ b/packages/callers/src/serve-claimed.ts
@@ -115,7 +115,7 @@
 };
 
 type SendOptions = {
-	readonly work: PlainCallContext;
+	readonly context: PlainCallContext;
 	readonly claim: Claim;
 	readonly fencing: number;
 	readonly body: Uint8Array;
@@ -126,7 +126,7 @@
  * Sends the call once. A disconnect of the caller does not abort it, because it runs on the backend server in any case
  * and its outcome is needed for the next call with the same key.
  */
-const sendOnce = async ({work: context, claim, fencing, body, backend}: SendOptions): Promise<RecordedAnswer> => {
+const sendOnce = async ({context, claim, fencing, body, backend}: SendOptions): Promise<RecordedAnswer> => {
 	const {services, call} = context;
 	const {registry, environment, connections} = services;
 	const startedAt = environment.clock.now();
@@ -152,14 +152,14 @@
 	};
 
 	return runAtBackend({
-		work: context, backend, attemptSignal, send,
+		context, backend, attemptSignal, send,
 	});
 };
 
 /** Whether the call was certainly not sent. After any failure other than a failed connection it may have run. */
 const isProvenUnsent = (error: unknown): boolean => error instanceof BackendCallError && !error.wasSent;
 
-/** Tries backend servers until the call has been sent to one, and returns its response. */
+/** Attempts the call on backend servers until it has been sent to one, and returns its response. */
 const dispatch = async (context: PlainCallContext, claim: Claim, fencing: number, body: Uint8Array): Promise<RecordedAnswer> => {
 	const {clock} = context.services.environment;
 	const excluded = new Set<string>();
@@ -177,10 +177,10 @@
 		}
 
 		try {
-			// The next backend server is tried only if this one was certainly not reached.
+			// The next backend server is used only if this one was certainly not reached.
 			// eslint-disable-next-line no-await-in-loop
 			return await sendOnce({
-				work: context, claim, fencing, body, backend,
+				context, claim, fencing, body, backend,
 			});
 		} catch (error) {
 			if (!isProvenUnsent(error)) {
--- a/packages/callers/src/serve-repeatable.ts
+++ b/packages/callers/src/serve-repeatable.ts
@@ -77,7 +77,7 @@
 
 type AttemptResult = {readonly failure?: unknown};
 
-const tryBackend = async (context: PlainCallContext, backend: BackendView, body: Body): Promise<AttemptResult> => {
+const runBackendAttempt = async (context: PlainCallContext, backend: BackendView, body: Body): Promise<AttemptResult> => {
 	const {services, call} = context;
 	const {registry, environment, connections} = services;
 	const startedAt = environment.clock.now();
@@ -103,7 +103,7 @@
 	let failure: unknown;
 	try {
 		await runAtBackend({
-			work: context, backend, attemptSignal, send,
+			context, backend, attemptSignal, send,
 		});
 	} catch (error) {
 		failure = error;
@@ -137,14 +137,14 @@
 			throw makeNoBackendError(context, excluded.size > 0);
 		}
 
-		const {failure} = await tryBackend(context, backend, body); // eslint-disable-line no-await-in-loop -- attempts run one at a time
+		const {failure} = await runBackendAttempt(context, backend, body); // eslint-disable-line no-await-in-loop -- attempts run one at a time
 		if (failure === undefined) {
 			return;
 		}
 
 		excluded.add(backend.id);
 		const mayRetry = body.canRepeat && !context.call.response.headersSent && attempts < maxAttempts;
-		if (!mayRetry || !budgets.trySpend(budgetName)) {
+		if (!mayRetry || !budgets.takeRetry(budgetName)) {
 			throw describeLastError(failure);
 		}
 
--- a/packages/callers/src/try-engine.ts
+++ b/packages/callers/src/try-engine.ts
@@ -11,15 +11,15 @@
 import {type ChatContext, type ChatProgress} from './chat-context.js';
 import {relayStream, relayWhole} from './relay-response.js';
 
-/** Multiplies the quiet timeout until the first token arrives, because the engine may be processing a long prompt. */
+/** Multiplies the quiet timeout until the first token arrives, because the engine may be prefilling a long prompt. */
 const promptQuietFactor = 3;
 
 /** Whether a silent stream counts as failed. */
-const isQuietFault = async (context: ChatContext, engine: BackendView, progress: ChatProgress, startedAt: number): Promise<boolean> => {
+const isQuietFailure = async (context: ChatContext, engine: BackendView, progress: ChatProgress, startedAt: number): Promise<boolean> => {
 	const {environment} = context.services;
 	const {quietStreamMs} = environment.settings.limits;
-	const isProcessingPrompt = progress.firstTokenAt === undefined;
-	if (isProcessingPrompt && environment.clock.now() - startedAt < quietStreamMs * promptQuietFactor) {
+	const isPrefilling = progress.firstTokenAt === undefined;
+	if (isPrefilling && environment.clock.now() - startedAt < quietStreamMs * promptQuietFactor) {
 		return false;
 	}
 
@@ -66,7 +66,7 @@
 const mayHaveRun = (error: unknown): boolean =>
 	!(error instanceof EngineRefusal) && !(error instanceof BackendCallError && !error.wasSent);
 
-/** Avoids an engine that could not be reached, or checks whether it died after its connection broke. */
+/** Avoids an engine that could not be reached, or checks whether it crashed after its connection broke. */
 const recordFailure = async (context: ChatContext, engine: BackendView, error: unknown, attemptSignal: AttemptSignal): Promise<void> => {
 	const {registry, suspects} = context.services;
 	if (error instanceof BackendCallError && !error.wasSent) {
@@ -85,9 +85,9 @@
 
 /**
  * Runs one attempt on one engine. Returns undefined if the response is complete, or the error if another
- * attempt may succeed. Throws if the request has failed for good.
+ * attempt may succeed. Throws if the request cannot be retried.
  */
-export const tryEngine = async (context: ChatContext, progress: ChatProgress, engine: BackendView, onTokens: () => void): Promise<unknown> => {
+export const runEngineAttempt = async (context: ChatContext, progress: ChatProgress, engine: BackendView, onTokens: () => void): Promise<unknown> => {
 	const {services, call} = context;
 	const {environment, registry, suspects, connections} = services;
 	const startedAt = environment.clock.now();
@@ -98,14 +98,14 @@
 		deadline: context.deadline,
 		now: startedAt,
 		quietTimeoutMs: isStream ? environment.settings.limits.quietStreamMs : undefined,
-		onQuiet: async () => isQuietFault(context, engine, progress, startedAt),
+		onQuiet: async () => isQuietFailure(context, engine, progress, startedAt),
 	});
 	const hop = call.hop.makeChild('backend', {backend: engine.id, try: progress.attempts});
 	const uncachedTokens = Math.max(0, context.promptTokens - (registry.countCachedBlocks(engine.id, context.prefixHashes) * estimateTokens(blockCharacters)));
-	let isPromptProcessed = false;
-	const markPromptProcessed = (): void => {
-		if (!isPromptProcessed) {
-			isPromptProcessed = true;
+	let isPrefilled = false;
+	const markPrefilled = (): void => {
+		if (!isPrefilled) {
+			isPrefilled = true;
 			registry.recordPromptProcessed(engine.id, uncachedTokens);
 		}
 	};
@@ -117,7 +117,7 @@
 	try {
 		const attempt = {
 			engine, attemptSignal, uncachedTokens, traceparent: hop.getTraceparent(), onTokens() {
-				markPromptProcessed();
+				markPrefilled();
 				onTokens();
 			},
 		};
@@ -128,7 +128,7 @@
 		await recordFailure(context, engine, error, attemptSignal);
 	} finally {
 		attemptSignal.dispose();
-		markPromptProcessed();
+		markPrefilled();
 		registry.end(engine.id, isUrgent);
 		endRun();
 		hop.end(failure);
--- a/packages/callers/src/try-suspect.ts
+++ b/packages/callers/src/try-suspect.ts
@@ -1,6 +1,6 @@
 /**
- * Runs an attempt of a suspected request, one that was in flight when a backend server died. It runs on an engine
- * without other suspects, and only one daemon runs it.
+ * Runs an attempt of a suspected request, one that was in flight when a backend server crashed. It runs on an
+ * engine without other suspects, and only one daemon runs it.
  */
 import {waitQuietly} from '@shallotpass/common/clock.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
@@ -11,7 +11,7 @@
 import {chooseEngine} from './choose-engine.js';
 import {acquireProbation, type Probation} from './probation.js';
 import {type SecondRun} from './second-run.js';
-import {tryEngine} from './try-engine.js';
+import {runEngineAttempt} from './try-engine.js';
 
 type ReservedEngine = {
 	readonly engine: BackendView;
@@ -22,17 +22,17 @@
 const pollIntervalMs = 100;
 
 /**
- * Lists engines in the availability zones where engines died while running the request. If the whole zone is failing,
- * a second engine may die there for reasons unrelated to the request, which would wrongly convict it.
+ * Lists engines in the availability zones where engines crashed while running the request. If the whole zone is failing,
+ * a second engine may crash there for reasons unrelated to the request, which would wrongly convict it.
  */
-const listEnginesInDeathZones = (context: ChatContext): string[] => {
+const listEnginesInCrashZones = (context: ChatContext): string[] => {
 	const {registry, suspects} = context.services;
 	const deaths = suspects.get(context.fingerprint)?.deaths ?? [];
 	const zones = new Set(deaths.map(id => registry.getView(id)?.availabilityZone));
 	return registry.list().filter(view => zones.has(view.availabilityZone)).map(view => view.id);
 };
 
-/** Selects an engine outside `avoided`; undefined if all others are in use or were tried. */
+/** Selects an engine outside `avoided`; undefined if all others are in use or had an attempt. */
 const chooseEngineExcept = (context: ChatContext, progress: ChatProgress, avoided: ReadonlySet<string>): BackendView | undefined => {
 	try {
 		return chooseEngine(context, progress, avoided);
@@ -46,7 +46,7 @@
 };
 
 const chooseUnreservedEngine = (context: ChatContext, progress: ChatProgress, reservedIds: ReadonlySet<string>): BackendView | undefined =>
-	chooseEngineExcept(context, progress, new Set([...reservedIds, ...listEnginesInDeathZones(context)])) ?? chooseEngineExcept(context, progress, reservedIds);
+	chooseEngineExcept(context, progress, new Set([...reservedIds, ...listEnginesInCrashZones(context)])) ?? chooseEngineExcept(context, progress, reservedIds);
 
 const reserveEngine = async (context: ChatContext, progress: ChatProgress): Promise<ReservedEngine> => {
 	const {suspects, environment} = context.services;
@@ -69,7 +69,7 @@
 		suspects.reserve(engine.id);
 		let probation: Probation | undefined;
 		try {
-			probation = await acquireProbation(context.services, engine.id, context.deadline, context.call.callerGoneSignal); // eslint-disable-line no-await-in-loop -- the next engine is tried only if this one is taken
+			probation = await acquireProbation(context.services, engine.id, context.deadline, context.call.callerGoneSignal); // eslint-disable-line no-await-in-loop -- the next engine is used only if another suspect runs on this one
 		} finally {
 			if (probation === undefined) {
 				suspects.release(engine.id);
@@ -84,7 +84,7 @@
 	}
 };
 
-export const trySuspect = async (context: ChatContext, progress: ChatProgress, secondRun: SecondRun): Promise<AttemptResult> => {
+export const runSuspectAttempt = async (context: ChatContext, progress: ChatProgress, secondRun: SecondRun): Promise<AttemptResult> => {
 	const {suspects} = context.services;
 	let reserved: ReservedEngine;
 	try {
@@ -102,7 +102,7 @@
 	};
 
 	const suspect = suspects.get(context.fingerprint);
-	const clearIfPastDeath = (): void => {
+	const clearIfPastCrash = (): void => {
 		if (!isCleared && hasPassedCrashPosition(suspect, progress.position.tokens)) {
 			isCleared = true;
 			releaseEngine();
@@ -112,7 +112,7 @@
 
 	let failure: unknown;
 	try {
-		failure = await tryEngine(context, progress, engine, clearIfPastDeath);
+		failure = await runEngineAttempt(context, progress, engine, clearIfPastCrash);
 	} finally {
 		if (!isCleared) {
 			releaseEngine();
