--- a/packages/callers/src/choose-engine.ts
+++ b/packages/callers/src/choose-engine.ts
@@ -21,7 +21,7 @@
 });
 
 /**
- * Selects an engine that is not in `avoided`. Engines of earlier attempts are allowed again
+ * Selects an engine that is not in `avoided`. Engines on which an attempt failed are allowed again
  * only if no other engine is available and `avoided` is empty.
  */
 export const chooseEngine = (context: ChatContext, progress: ChatProgress, avoided: ReadonlySet<string>): BackendView => {
@@ -30,7 +30,7 @@
 	const routedCall = makeRoutedCall(context, progress, avoided);
 	let chosen = registry.choose(routedCall);
 	if (chosen === undefined && progress.excluded.size > 0 && avoided.size === 0) {
-		// All engines had an attempt, so start over: an earlier one may have recovered.
+		// Attempts on all engines have failed, so start over: an earlier engine may have recovered.
 		progress.excluded.clear();
 		chosen = registry.choose({...routedCall, excluded: new Set()});
 	}
--- a/packages/callers/src/second-run.ts
+++ b/packages/callers/src/second-run.ts
@@ -75,7 +75,7 @@
 	const {clock} = environment;
 	const claim = makeRunClaim(services, 'second-run', fingerprint);
 	const key = makeKeyName(claim);
-	const recordEnd = async (kind: 'answered_not_kept' | 'unknown' | 'not_sent'): Promise<void> => {
+	const recordRunOutcome = async (kind: 'answered_not_kept' | 'unknown' | 'not_sent'): Promise<void> => {
 		await claims.recordOutcome(claim, {kind, claimId: claim.id, key});
 	};
 
@@ -86,10 +86,10 @@
 				return {
 					async clear() {
 						suspects.lift(fingerprint);
-						await recordEnd('answered_not_kept');
+						await recordRunOutcome('answered_not_kept');
 					},
-					convict: async () => recordEnd('unknown'),
-					release: async () => recordEnd('not_sent'),
+					convict: async () => recordRunOutcome('unknown'),
+					release: async () => recordRunOutcome('not_sent'),
 				};
 			}
 
@@ -115,7 +115,7 @@
 
 			case 'unsafe':
 			case 'unavailable': {
-				void recordEnd('not_sent');
+				void recordRunOutcome('not_sent');
 				// Without the log it is unknown whether the request runs elsewhere, so it is refused.
 				throw new ServingError('a request that may end backend servers waits until the log answers', {
 					kind: 'claims_unavailable', retryAt: addMilliseconds(clock.now(), retryAfterMs),
--- a/packages/callers/src/try-suspect.ts
+++ b/packages/callers/src/try-suspect.ts
@@ -32,7 +32,7 @@
 	return registry.list().filter(view => zones.has(view.availabilityZone)).map(view => view.id);
 };
 
-/** Selects an engine outside `avoided`; undefined if all others are in use or had an attempt. */
+/** Selects an engine outside `avoided`; undefined if all others are in use or excluded after a failed attempt. */
 const chooseEngineExcept = (context: ChatContext, progress: ChatProgress, avoided: ReadonlySet<string>): BackendView | undefined => {
 	try {
 		return chooseEngine(context, progress, avoided);
--- a/packages/core/src/calls/serving-configuration.ts
+++ b/packages/core/src/calls/serving-configuration.ts
@@ -16,6 +16,7 @@
 	/** Target time for an answer, in milliseconds; later answers no longer count in full. */
 	readonly targetMs: number;
 	readonly rank: number;
+	/** Maximum number of attempts that may run a call. */
 	readonly attempts: number;
 	readonly allowsAnonymous: boolean;
 	readonly services: readonly WeightedService[];
@@ -40,6 +41,7 @@
 
 export type Service = {
 	readonly name: string;
+	/** Maximum number of connections to one backend server, over all daemons. */
 	readonly maxConnections: number;
 	readonly engine: EngineCapacity | undefined;
 	/** Whether the KV cache of a running call can be transferred to another backend server. */
--- a/packages/core/src/calls/types.ts
+++ b/packages/core/src/calls/types.ts
@@ -28,7 +28,7 @@
 	readonly deadline: Deadline;
 	/** 0 is the most urgent. */
 	readonly rank: number;
-	/** Maximum number of backend servers that may run the call. */
+	/** Maximum number of attempts that may run the call. */
 	readonly maxAttempts: number;
 	readonly promptTokens: number;
 	readonly outputTokens: number;
--- a/packages/core/src/engines/plan-backends.ts
+++ b/packages/core/src/engines/plan-backends.ts
@@ -5,7 +5,7 @@
  * of 2 s, and new ones are unavailable there for many seconds afterwards. The plan spreads reclaimable servers evenly over
  * the zones and orders enough that the needed number survives the mass reclaims, as long as that costs less than the full price.
  * The rest is ordered on-demand, and released only when reclaimable servers that run have replaced it. Zones are kept equal
- * in size because a zone that is cut off has to serve its own callers.
+ * in size because a zone that is disconnected by a network partition has to serve its own callers.
  */
 import {type FleetBounds} from '../calls/serving-configuration.js';
 import {type BackendOrder} from '../duties/lease.js';
--- a/packages/core/src/placement/choose-backend.ts
+++ b/packages/core/src/placement/choose-backend.ts
@@ -1,11 +1,12 @@
 /**
- * Chooses the backend server with the lowest cost for a call: the predicted wait plus penalties for risks.
+ * Chooses the backend server with the lowest cost for a call: its predicted wait plus penalties for risks.
  *
  * Engines prefill prompts one chunk after another, so a call waits for all prompt tokens queued
  * before it. Tokens that are cached on the engine need no prefill.
  */
 import {type BackendView} from './types.js';
 
+/** Properties of a call that determine the choice of its backend server. */
 export type PlacementRequest = {
 	readonly rank: number;
 	readonly promptTokens: number;
@@ -83,6 +84,7 @@
 	return predictWait(view, call) + (view.failureRate * failurePenaltyMs) + reclaimPenaltyMs + zonePenaltyMs + silencePenaltyMs + view.spreadPenaltyMs;
 };
 
+/** The chosen backend server with its predicted wait and cost. */
 export type Choice = {
 	readonly id: string;
 	readonly predictedMs: number;
--- a/packages/core/src/placement/spread-choices.ts
+++ b/packages/core/src/placement/spread-choices.ts
@@ -1,6 +1,6 @@
 /**
  * Prevents herding among daemons that see the same outdated load: if all of them chose the least
- * loaded backend server, its queue would be full before they learned of each other's calls. Each
+ * loaded backend server, its queue would be full before their reports of these calls arrive. Each
  * call prefers backend servers in its own order, weighted by the work that is not reported yet.
  * Calls that share a prompt have the same order and therefore find the prompt cached.
  */
@@ -17,7 +17,7 @@
 	readonly tokensPerMs: number;
 };
 
-/** Computes the mean prefill time that other daemons send to a backend server before this daemon learns of it, in milliseconds. */
+/** Computes the mean prefill time that other daemons send to a backend server before their reports reach this daemon, in milliseconds. */
 export const computeUnreportedMs = ({tokensPerSecond, gossipDelayMs, backends, tokensPerMs}: UnreportedWork): number =>
 	tokensPerSecond * gossipDelayMs / 1000 / tokensPerMs / Math.max(1, backends);
 
--- a/packages/core/src/retries/repeat-allowance.ts
+++ b/packages/core/src/retries/repeat-allowance.ts
@@ -12,9 +12,12 @@
 };
 
 export type RetryLimit = {
+	/** Retries as a fraction of the calls within the window. */
 	readonly ratio: number;
+	/** Additional retries within the window, over all daemons. */
 	readonly slack: number;
 	readonly windowMs: number;
+	/** Number of daemons that share the slack. */
 	readonly daemons: number;
 };
 
--- a/packages/core/src/retries/suspects.test.ts
+++ b/packages/core/src/retries/suspects.test.ts
@@ -24,8 +24,8 @@
 for (const {name, deaths, isConvicted} of cases) {
 	test(name, () => {
 		let state = empty;
-		for (const death of deaths) {
-			state = markTestSuspects(state, death);
+		for (const crash of deaths) {
+			state = markTestSuspects(state, crash);
 		}
 
 		assert.equal(state.get('f')?.isConvicted, isConvicted);
--- a/packages/gateway/src/calls/backend-registry.ts
+++ b/packages/gateway/src/calls/backend-registry.ts
@@ -49,7 +49,7 @@
 	/** When it is expected to stop, on the steady clock. */
 	leavesAt: number | undefined;
 	/** Prompt parts that it is expected to have cached. */
-	readonly prefixes: KnownParts;
+	readonly knownParts: KnownParts;
 	/** Digests of the calls that run on it, in case one of them crashes it. */
 	readonly runningDigests: Set<string>;
 };
@@ -86,7 +86,7 @@
 	isGone: false,
 	leaving: new AbortController(),
 	leavesAt: undefined,
-	prefixes: new Map(),
+	knownParts: new Map(),
 	runningDigests: new Set(),
 });
 
--- a/packages/gateway/src/calls/place-call.ts
+++ b/packages/gateway/src/calls/place-call.ts
@@ -60,7 +60,7 @@
 	const unreportedMs = estimateUnreportedMs(gateway, call.service, candidates.length);
 	const views = candidates.map(state => toBackendView(state, {
 		latencyModel: getLatencyModel(gateway.registry, state, now),
-		cachedTokens: countCachedTokens(call.promptParts, {wasSent: partId => state.prefixes.has(partId), isPreferred: state === preferred}),
+		cachedTokens: countCachedTokens(call.promptParts, {wasSent: partId => state.knownParts.has(partId), isPreferred: state === preferred}),
 		spreadPenaltyMs: unreportedMs * computeOrderPosition(keyHash, state.incarnationHash),
 		maxOwnCalls,
 		ownZone,
@@ -74,5 +74,5 @@
 	};
 	const choice = chooseBackend(views, placedCall, gateway.random);
 	const state = choice && gateway.registry.byId.get(choice.id);
-	return choice && state && {state, choice, cachedTokens: countCachedTokens(call.promptParts, {wasSent: partId => state.prefixes.has(partId), isPreferred: state === preferred})};
+	return choice && state && {state, choice, cachedTokens: countCachedTokens(call.promptParts, {wasSent: partId => state.knownParts.has(partId), isPreferred: state === preferred})};
 };
--- a/packages/gateway/src/calls/run-at-backend.ts
+++ b/packages/gateway/src/calls/run-at-backend.ts
@@ -222,7 +222,7 @@
 
 	signal.addEventListener('abort', abort, {once: true});
 	for (const part of call.promptParts) {
-		recordPart(state.prefixes, part.id, now);
+		recordPart(state.knownParts, part.id, now);
 	}
 
 	let isSilent = false;
--- a/packages/gateway/src/leader/leader-task.ts
+++ b/packages/gateway/src/leader/leader-task.ts
@@ -124,7 +124,7 @@
 
 	const maintainLease = async (held: HeldLease): Promise<void> => {
 		if (!record.canAct()) {
-			// The instance may have been suspended while another daemon took over, which only the store shows.
+			// The instance may have been suspended while another daemon took the lease. Only the store shows this.
 			// A lease that cannot be proven valid is treated as lost.
 			record.markLost(held.disagreements === countDisagreements() ? 'not renewed in time' : 'steady clock and time of day disagree');
 			return;
--- a/packages/gateway/src/peers/join-members.ts
+++ b/packages/gateway/src/peers/join-members.ts
@@ -77,7 +77,7 @@
 
 /**
  * Registers this daemon in the store unless it is registered from an earlier start, and reads the
- * members once. The daemon that reads the store for all keeps reading them, and the others receive them from it.
+ * members once. The reader of the store keeps reading them, and the other daemons receive them from it.
  */
 export const joinMembers = async (options: JoinOptions): Promise<void> => {
 	const {gateway, members, signal} = options;
--- a/packages/gateway/src/peers/query-peers.ts
+++ b/packages/gateway/src/peers/query-peers.ts
@@ -97,7 +97,7 @@
 	return addresses.length > 0 ? addresses : seeds;
 };
 
-/** When all daemons start for the first time there are no callers yet. Daemons first wait to discover each other, then for the state that the daemon that reads the store has loaded. */
+/** When all daemons start for the first time there are no callers yet. Daemons first wait to discover each other, then for the reader to load the state from the store. */
 const firstDiscoveryMs = 1500;
 const firstLoadMs = 6000;
 
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -51,6 +51,7 @@
 	| {readonly kind: 'done'}
 	/** The ordered backend servers are currently not available. */
 	| {readonly kind: 'none_offered'}
+	/** `isKnown`: whether it is certain that the request was not accepted. */
 	| {readonly kind: 'failed'; readonly reason: string; readonly isKnown: boolean};
 
 /** Proof that the sender holds the lease, sent with each request to the cloud API. */
--- a/packages/gateway/src/start-gateway.ts
+++ b/packages/gateway/src/start-gateway.ts
@@ -32,7 +32,7 @@
 /** Interval between `figures` log lines. */
 const figuresIntervalMs = 10_000;
 
-/** Idle connections are kept open this long after SIGTERM, so that callers learn of the shutdown from a response. */
+/** Idle connections are kept open this long after SIGTERM, so that a response notifies callers of the shutdown. */
 const keepIdleConnectionsMs = 3200;
 
 export type GatewayOptions = {
--- a/packages/gateway/src/store/follow-configuration.ts
+++ b/packages/gateway/src/store/follow-configuration.ts
@@ -25,7 +25,7 @@
 /** Share of `stableMs`, the time after a disruption until bounds hold again, after which the configuration counts as out of date. */
 const staleShareOfStable = 0.75;
 
-/** Share of `stableMs` that a poll waits. It is below the stale share, so that daemons that query the daemon that reads the store do not find it out of date. */
+/** Share of `stableMs` that a poll waits. It is below the stale share, so that daemons that query the reader do not find its configuration out of date. */
 const pollShareOfStable = 0.45;
 
 export const getConfigurationStaleMs = (bounds: GatewaySettings['bounds']): number => Math.floor(bounds.stableMs * staleShareOfStable);
--- a/packages/gateway/src/store/follow-directory.ts
+++ b/packages/gateway/src/store/follow-directory.ts
@@ -28,7 +28,7 @@
  */
 const entryRewriteMs = 1700;
 
-/** If a peer's directory is younger than this, the store was available to the peer and only this daemon was cut off. */
+/** If a peer's directory is younger than this, the store was available to the peer and only this daemon was disconnected from it. */
 const peerFreshMs = 2000;
 
 /** Interval between checks for entries that have been missing for too long. */
--- a/packages/gateway/src/store/follow-topic.ts
+++ b/packages/gateway/src/store/follow-topic.ts
@@ -6,7 +6,7 @@
 import {pauseFor} from '../pause.js';
 import {type KeyedRecord, type Store, type Topic} from '../ports.js';
 
-/** Time beyond the requested wait after which a connection counts as dead. The store answers in 4 ms. */
+/** Time beyond the requested wait after which a connection counts as broken. The store answers in 4 ms. */
 const responseMarginMs = 350;
 
 /** Timeout for reading the newest records. */
