--- a/scripts/measure/src/history-experiment.ts
+++ b/scripts/measure/src/history-experiment.ts
@@ -3,12 +3,12 @@
 import {z} from 'zod';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
 import {findViolations} from './history/check-history.js';
-import {stormActions} from './history/storm-actions.js';
-import {runReservationCaller, runStreamCaller, watchVersions} from './history/storm-callers.js';
+import {chaosActions} from './history/storm-actions.js';
+import {runReservationCaller, runStreamCaller, recordVersions} from './history/storm-callers.js';
 import {
-	closeStormWorld, collectArrivals, getDaemonId, pickOne, startStormWorld, type StormWorld,
+	closeChaosCluster, collectArrivals, getDaemonId, pickRandom, startChaosCluster, type ChaosCluster,
 } from './history/storm-world.js';
-import {type CallEvent, type History, type Told} from './history/types.js';
+import {type CallEvent, type History, type CallOutcome} from './history/types.js';
 import {waitFor} from './local-fleet.js';
 import {type Experiment, type Report} from './experiment.js';
 
@@ -33,10 +33,10 @@
 
 const restMs = 100;
 
-const runLane = async (world: StormWorld, {actions, leaveOut}: StormOptions, tell: (line: string) => void): Promise<void> => {
-	const possible = stormActions.filter(action => !leaveOut.includes(action.name));
+const runLane = async (world: ChaosCluster, {actions, leaveOut}: StormOptions, tell: (line: string) => void): Promise<void> => {
+	const possible = chaosActions.filter(action => !leaveOut.includes(action.name));
 	for (let index = 0; index < actions; index++) {
-		const action = pickOne(possible, world.random);
+		const action = pickRandom(possible, world.random);
 		tell(action.name);
 		/* eslint-disable no-await-in-loop -- one after the other */
 		await action.perform(world);
@@ -45,7 +45,7 @@
 	}
 };
 
-const noteFinalVersions = async ({history, daemons}: StormWorld): Promise<void> => {
+const noteFinalVersions = async ({history, daemons}: ChaosCluster): Promise<void> => {
 	const newest = Math.max(...history.accepted.map(entry => entry.version));
 	try {
 		await waitFor('the newest configuration is in force', () => daemons.every(daemon => daemon.getVersion('default') >= newest));
@@ -59,12 +59,12 @@
 /** Runs the storm and gives its history. */
 export const runStorm = async (options: StormOptions, tell: (line: string) => void): Promise<History> => {
 	const random = makeRandom(options.seed);
-	const world = await startStormWorld({...options, random});
+	const world = await startChaosCluster({...options, random});
 	try {
 		const load = Promise.all([
 			...Array.from({length: options.streams}, async (_value, index) => runStreamCaller(world, index, options.tokens)),
 			...Array.from({length: options.reservers}, async (_value, index) => runReservationCaller(world, index)),
-			watchVersions(world),
+			recordVersions(world),
 		]);
 		await Promise.all(Array.from({length: options.lanes}, async () => runLane(world, options, tell)));
 		await noteFinalVersions(world);
@@ -74,11 +74,11 @@
 		return world.history;
 	} finally {
 		world.isOver = true;
-		await closeStormWorld(world);
+		await closeChaosCluster(world);
 	}
 };
 
-const countTold = (calls: readonly CallEvent[], told: Told): number => calls.filter(call => call.told === told).length;
+const countTold = (calls: readonly CallEvent[], told: CallOutcome): number => calls.filter(call => call.told === told).length;
 
 const run = async (options: StormOptions, tell: (line: string) => void): Promise<Report> => {
 	const history = await runStorm(options, tell);
--- a/scripts/measure/src/history/storm-actions.ts
+++ b/scripts/measure/src/history/storm-actions.ts
@@ -1,174 +1,175 @@
-/** What can befall the system, each by its name. An action puts right what it did before it ends, but for daemons, which stay away. */
+/** The actions of a chaos run. Each action repairs what it broke before it ends, except that stopped daemons are not replaced. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Daemon} from '@shallotpass/daemon/start-daemon.js';
 import {applyThrough, makeConfigurationText} from '../local-fleet.js';
-import {askRecorded} from './storm-callers.js';
+import {askAndRecord} from './storm-callers.js';
 import {
-	crashMarker, getDaemonId, pickOne, replaceEngines, type StormEngine, type StormWorld,
+	crashMarker, getDaemonId, pickRandom, replaceEngines, type ChaosEngine, type ChaosCluster,
 } from './storm-world.js';
 
-export type StormAction = {
+export type ChaosAction = {
 	readonly name: string;
-	readonly perform: (world: StormWorld) => Promise<void>;
+	readonly perform: (cluster: ChaosCluster) => Promise<void>;
 };
 
 const noticeMs = 4000;
 const outageMs = 800;
 const settleMs = 300;
-const mostJumpMs = 2 * 60 * 60 * 1000;
+const maxClockJumpMs = 2 * 60 * 60 * 1000;
 
-/** Engines that must stay, so that there is somewhere to go. */
-const leastEngines = 3;
+/** Minimum number of engines that no action holds, so that requests can be rerouted. */
+const minFreeEngines = 3;
 
 const acceptedStatus = 202;
 
-/** Daemons that must stay. */
-const leastDaemons = 3;
+/** Minimum number of daemons that stay available to callers. */
+const minDaemons = 3;
 
-const takeEngines = (world: StormWorld, pick: (engine: StormEngine) => boolean): StormEngine[] => {
-	const free = world.engines.filter(engine => !world.busyEngines.has(engine.id));
-	const taken = free.filter(engine => pick(engine));
-	if (free.length - taken.length < leastEngines) {
+/** Marks the matching engines as busy. Holds none if fewer than `minFreeEngines` would stay free. */
+const holdEngines = (cluster: ChaosCluster, matches: (engine: ChaosEngine) => boolean): ChaosEngine[] => {
+	const free = cluster.engines.filter(engine => !cluster.busyEngines.has(engine.id));
+	const held = free.filter(engine => matches(engine));
+	if (free.length - held.length < minFreeEngines) {
 		return [];
 	}
 
-	for (const engine of taken) {
-		world.busyEngines.add(engine.id);
+	for (const engine of held) {
+		cluster.busyEngines.add(engine.id);
 	}
 
-	return taken;
+	return held;
 };
 
-const takeOneEngine = (world: StormWorld): StormEngine[] => {
-	const {id} = pickOne(world.engines, world.random);
-	return takeEngines(world, engine => engine.id === id);
+const holdRandomEngine = (cluster: ChaosCluster): ChaosEngine[] => {
+	const {id} = pickRandom(cluster.engines, cluster.random);
+	return holdEngines(cluster, engine => engine.id === id);
 };
 
-const closeAndReplace = async (world: StormWorld, engines: readonly StormEngine[]): Promise<void> => {
+const closeAndReplace = async (cluster: ChaosCluster, engines: readonly ChaosEngine[]): Promise<void> => {
 	await Promise.all(engines.map(async engine => engine.server.close()));
 	await sleep(settleMs);
-	await replaceEngines(world, engines);
+	await replaceEngines(cluster, engines);
 };
 
-const reclaim = async (world: StormWorld, engines: readonly StormEngine[]): Promise<void> => {
+const reclaimEngines = async (cluster: ChaosCluster, engines: readonly ChaosEngine[]): Promise<void> => {
 	const at = Date.now();
 	for (const {id} of engines) {
-		world.history.notices.push({backend: id, at, leavesAt: at + noticeMs});
-		world.fleet.platform.cloud.giveNotice(id, at + noticeMs);
+		cluster.history.notices.push({backend: id, at, leavesAt: at + noticeMs});
+		cluster.fleet.platform.cloud.giveNotice(id, at + noticeMs);
 	}
 
 	await sleep(engines.length === 0 ? 0 : noticeMs);
-	await closeAndReplace(world, engines);
+	await closeAndReplace(cluster, engines);
 };
 
-/** Does harm for a while and notes from when to when; the outcome of a call may be lost in that time and shortly after. */
-const harm = async (world: StormWorld, what: string, act: () => Promise<void>, daemon?: string): Promise<void> => {
+/** Injects a fault and records its period, including a margin after its end in which the outcome of a call may still be lost. */
+const injectAndRecord = async (cluster: ChaosCluster, description: string, injectFault: () => Promise<void>, daemon?: string): Promise<void> => {
 	const from = Date.now();
 	try {
-		await act();
+		await injectFault();
 	} finally {
-		world.history.harms.push({
-			what, daemon, from, to: Date.now() + settleMs,
+		cluster.history.harms.push({
+			what: description, daemon, from, to: Date.now() + settleMs,
 		});
 	}
 };
 
-/** Leaves one daemon at least in each zone, for the platform's balancer always has one. */
-const takeDaemon = (world: StormWorld): Daemon | undefined => {
-	const daemon = pickOne(world.daemons, world.random);
-	if (world.daemons.length <= leastDaemons) {
+/** Removes a random daemon from those that receive calls, unless only `minDaemons` are left: the platform's load balancer always has one to choose. */
+const removeDaemon = (cluster: ChaosCluster): Daemon | undefined => {
+	const daemon = pickRandom(cluster.daemons, cluster.random);
+	if (cluster.daemons.length <= minDaemons) {
 		return undefined;
 	}
 
-	world.daemons = world.daemons.filter(other => other !== daemon);
+	cluster.daemons = cluster.daemons.filter(other => other !== daemon);
 	return daemon;
 };
 
-const withLogFault = (kind: 'refuse' | 'lose_reply' | 'delay', on: 'append' | 'read') => async (world: StormWorld): Promise<void> => {
-	const {faults} = world.fleet.platform.log;
-	await harm(world, `log ${kind} ${on}`, async () => {
+const makeLogFaultAction = (kind: 'refuse' | 'lose_reply' | 'delay', on: 'append' | 'read') => async (cluster: ChaosCluster): Promise<void> => {
+	const {faults} = cluster.fleet.platform.log;
+	await injectAndRecord(cluster, `log ${kind} ${on}`, async () => {
 		faults.add({on, kind, delayMs: 400});
 		await sleep(outageMs);
 		faults.clear(on);
 	});
 };
 
-const withServiceFault = (kind: 'lose_reply' | 'mismatch' | 'refuse') => async (world: StormWorld): Promise<void> => {
-	await harm(world, `service ${kind}`, async () => {
-		const {faults} = pickOne(world.services, world.random).server;
+const makeServiceFaultAction = (kind: 'lose_reply' | 'mismatch' | 'refuse') => async (cluster: ChaosCluster): Promise<void> => {
+	await injectAndRecord(cluster, `service ${kind}`, async () => {
+		const {faults} = pickRandom(cluster.services, cluster.random).server;
 		faults.add({on: 'call', kind, times: 2});
 		await sleep(settleMs);
 		faults.clear('call');
 	});
 };
 
-/** An operator whose daemon goes away under the call has no answer, and was told nothing. */
-const applyRecorded = async (world: StormWorld, daemon: Daemon, note: string, base: number): Promise<void> => {
+/** Applies a configuration and records it if accepted. The call may fail because its daemon is stopped meanwhile. */
+const applyAndRecord = async (cluster: ChaosCluster, daemon: Daemon, label: string, base: number): Promise<void> => {
 	try {
-		const answer = await applyThrough(daemon, makeConfigurationText(`${note} ${world.random()}`), base);
+		const answer = await applyThrough(daemon, makeConfigurationText(`${label} ${cluster.random()}`), base);
 		if (answer.status === acceptedStatus) {
-			world.history.accepted.push({version: answer.body.version!, at: Date.now()});
+			cluster.history.accepted.push({version: answer.body.version!, at: Date.now()});
 		}
 	} catch {
-		// Whether it was accepted shows in the versions; nothing was promised.
+		// Without a response the operator was given no guarantee, so there is nothing to check.
 	}
 };
 
-export const stormActions: readonly StormAction[] = [
+export const chaosActions: readonly ChaosAction[] = [
 	{
 		name: 'an engine dies without notice',
-		perform: async world => closeAndReplace(world, takeOneEngine(world)),
+		perform: async cluster => closeAndReplace(cluster, holdRandomEngine(cluster)),
 	},
 	{
 		name: 'an engine is reclaimed',
-		perform: async world => reclaim(world, takeOneEngine(world)),
+		perform: async cluster => reclaimEngines(cluster, holdRandomEngine(cluster)),
 	},
 	{
 		name: 'a zone of engines is reclaimed',
-		async perform(world) {
-			const zone = pickOne(world.fleet.zones, world.random).name;
-			await reclaim(world, takeEngines(world, engine => engine.zone === zone));
+		async perform(cluster) {
+			const zone = pickRandom(cluster.fleet.zones, cluster.random).name;
+			await reclaimEngines(cluster, holdEngines(cluster, engine => engine.zone === zone));
 		},
 	},
 	{
 		name: 'an engine dies in the middle of its reclaim',
-		async perform(world) {
-			const engines = takeOneEngine(world);
+		async perform(cluster) {
+			const engines = holdRandomEngine(cluster);
 			for (const {id} of engines) {
-				world.fleet.platform.cloud.giveNotice(id, Date.now() + noticeMs);
+				cluster.fleet.platform.cloud.giveNotice(id, Date.now() + noticeMs);
 			}
 
-			await sleep(world.random() * settleMs);
-			await closeAndReplace(world, engines);
+			await sleep(cluster.random() * settleMs);
+			await closeAndReplace(cluster, engines);
 		},
 	},
 	{
 		name: 'a daemon is stopped as planned',
-		async perform(world) {
-			const daemon = takeDaemon(world);
+		async perform(cluster) {
+			const daemon = removeDaemon(cluster);
 			if (daemon !== undefined) {
-				world.history.stops.push({daemon: getDaemonId(daemon), isPlanned: true, at: Date.now()});
+				cluster.history.stops.push({daemon: getDaemonId(daemon), isPlanned: true, at: Date.now()});
 				await daemon.drain();
 			}
 		},
 	},
 	{
 		name: 'a daemon dies in the middle of its drain',
-		async perform(world) {
-			const daemon = takeDaemon(world);
+		async perform(cluster) {
+			const daemon = removeDaemon(cluster);
 			if (daemon !== undefined) {
 				void daemon.drain();
-				await sleep(world.random() * outageMs);
-				world.history.stops.push({daemon: getDaemonId(daemon), isPlanned: false, at: Date.now()});
-				await harm(world, 'a daemon dies', async () => daemon.stop());
+				await sleep(cluster.random() * outageMs);
+				cluster.history.stops.push({daemon: getDaemonId(daemon), isPlanned: false, at: Date.now()});
+				await injectAndRecord(cluster, 'daemon crash', async () => daemon.stop());
 			}
 		},
 	},
 	{
 		name: 'a zone is cut off from the platform',
-		async perform(world) {
-			const zone = pickOne(world.fleet.zones, world.random);
-			await harm(world, 'cut from the platform', async () => {
+		async perform(cluster) {
+			const zone = pickRandom(cluster.fleet.zones, cluster.random);
+			await injectAndRecord(cluster, 'network partition from the platform', async () => {
 				zone.setPlatform('cut');
 				await sleep(outageMs);
 				zone.setPlatform('open');
@@ -177,60 +178,60 @@
 	},
 	{
 		name: 'a zone is cut off from the others',
-		async perform(world) {
-			await harm(world, 'cut from the zones', async () => {
-				world.fleet.separate([pickOne(world.fleet.zones, world.random)]);
+		async perform(cluster) {
+			await injectAndRecord(cluster, 'network partition between zones', async () => {
+				cluster.fleet.separate([pickRandom(cluster.fleet.zones, cluster.random)]);
 				await sleep(outageMs);
-				world.fleet.separate([]);
+				cluster.fleet.separate([]);
 			});
 		},
 	},
 	{
 		name: 'open connections go silent',
-		async perform(world) {
-			const zone = pickOne(world.fleet.zones, world.random);
-			await harm(world, 'forgotten connections', async () => {
+		async perform(cluster) {
+			const zone = pickRandom(cluster.fleet.zones, cluster.random);
+			await injectAndRecord(cluster, 'open connections dropped silently', async () => {
 				zone.setPlatform('forgetful');
 				await sleep(outageMs);
 				zone.setPlatform('open');
 			});
 		},
 	},
-	{name: 'the log refuses appends', perform: withLogFault('refuse', 'append')},
-	{name: 'the log loses replies', perform: withLogFault('lose_reply', 'append')},
-	{name: 'the log reads slowly', perform: withLogFault('delay', 'read')},
-	{name: 'a reservation server loses replies', perform: withServiceFault('lose_reply')},
-	{name: 'a reservation server answers another request', perform: withServiceFault('mismatch')},
+	{name: 'the log refuses appends', perform: makeLogFaultAction('refuse', 'append')},
+	{name: 'the log loses replies', perform: makeLogFaultAction('lose_reply', 'append')},
+	{name: 'the log reads slowly', perform: makeLogFaultAction('delay', 'read')},
+	{name: 'a reservation server loses replies', perform: makeServiceFaultAction('lose_reply')},
+	{name: 'a reservation server answers another request', perform: makeServiceFaultAction('mismatch')},
 	{
 		name: 'the clock of a daemon jumps',
-		async perform(world) {
-			const daemon = getDaemonId(pickOne(world.daemons, world.random));
-			await harm(world, 'a clock jumps', async () => {
-				world.clocks.get(daemon)!.jumpTo((world.random() - 0.5) * mostJumpMs);
+		async perform(cluster) {
+			const daemon = getDaemonId(pickRandom(cluster.daemons, cluster.random));
+			await injectAndRecord(cluster, 'clock jump', async () => {
+				cluster.clocks.get(daemon)!.jumpTo((cluster.random() - 0.5) * maxClockJumpMs);
 				await sleep(outageMs);
-				world.clocks.get(daemon)!.jumpTo(0);
+				cluster.clocks.get(daemon)!.jumpTo(0);
 			}, daemon);
 		},
 	},
 	{
 		name: 'operators race',
-		async perform(world) {
-			const [left, right] = [pickOne(world.daemons, world.random), pickOne(world.daemons, world.random)];
-			const base = left.getVersion('default');
-			await Promise.all([left, right].map(async (daemon, index) => applyRecorded(world, daemon, `race ${index}`, base)));
+		async perform(cluster) {
+			const [first, second] = [pickRandom(cluster.daemons, cluster.random), pickRandom(cluster.daemons, cluster.random)];
+			const base = first.getVersion('default');
+			await Promise.all([first, second].map(async (daemon, index) => applyAndRecord(cluster, daemon, `race ${index}`, base)));
 		},
 	},
 	{
 		name: 'a request ends engines and is sent again',
-		async perform(world) {
-			const key = `${crashMarker}${Math.floor(world.random() * 1_000_000)}`;
-			for (let sending = 0; sending < 4; sending++) {
-				await askRecorded(world, key, 5); // eslint-disable-line no-await-in-loop -- sent again after its refusal
+		async perform(cluster) {
+			const key = `${crashMarker}${Math.floor(cluster.random() * 1_000_000)}`;
+			for (let attempt = 0; attempt < 4; attempt++) {
+				await askAndRecord(cluster, key, 5); // eslint-disable-line no-await-in-loop -- each attempt follows the previous one's failure
 			}
 
-			const crashed = world.allEngines.filter(engine => engine.server.arrivals.some(arrival => arrival.marker === key));
-			world.history.crashedBy.push({key, backends: crashed.length});
-			await replaceEngines(world, crashed.filter(engine => world.engines.includes(engine) && !world.busyEngines.has(engine.id)));
+			const crashed = cluster.allEngines.filter(engine => engine.server.arrivals.some(arrival => arrival.marker === key));
+			cluster.history.crashedBy.push({key, backends: crashed.length});
+			await replaceEngines(cluster, crashed.filter(engine => cluster.engines.includes(engine) && !cluster.busyEngines.has(engine.id)));
 		},
 	},
 ];
--- a/scripts/measure/src/history/storm-callers.ts
+++ b/scripts/measure/src/history/storm-callers.ts
@@ -1,17 +1,18 @@
-/** Callers in a storm: each asks again and again, checks what it gets and writes it down. */
+/** Callers of a chaos run: they send requests in a loop, verify the responses and record them in the history. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
 	askStream, reserve, type CallResult, type StreamResult,
 } from '../caller-client.js';
-import {getDaemonId, pickOne, type StormWorld} from './storm-world.js';
-import {type CallEvent, type Told} from './types.js';
+import {getDaemonId, pickRandom, type ChaosCluster} from './storm-world.js';
+import {type CallEvent, type CallOutcome} from './types.js';
 
+/** Pause between the requests of one caller, and between two polls of the versions. */
 const pauseMs = 10;
 
-/** Sendings of one reservation, through whichever daemon, until its outcome is known. */
-const mostSendings = 6;
+/** Attempts at one reservation, each through a random daemon, before the caller gives up. */
+const maxAttempts = 6;
 
-const tellsOf = (problem: {readonly executed?: unknown} | undefined): Told => {
+const getFailureOutcome = (problem: {readonly executed?: unknown} | undefined): CallOutcome => {
 	if (problem === undefined) {
 		return 'cut';
 	}
@@ -19,90 +20,91 @@
 	return problem.executed === 'no' ? 'not_run' : 'unknown';
 };
 
-const describeStream = (result: StreamResult): Pick<CallEvent, 'told' | 'errorKind' | 'isOwnAnswer'> => ({
-	told: result.isWhole ? 'answered' : tellsOf(result.problem),
+const toStreamOutcome = (result: StreamResult): Pick<CallEvent, 'told' | 'errorKind' | 'isOwnAnswer'> => ({
+	told: result.isWhole ? 'answered' : getFailureOutcome(result.problem),
 	errorKind: result.problem?.kind,
 	isOwnAnswer: result.strayTokens === 0,
 });
 
-const describeOnce = (result: CallResult, body: string): Pick<CallEvent, 'told' | 'errorKind' | 'isOwnAnswer'> => result.status === 200
+const toReservationOutcome = (result: CallResult, body: string): Pick<CallEvent, 'told' | 'errorKind' | 'isOwnAnswer'> => result.status === 200
 	? {told: 'answered', errorKind: undefined, isOwnAnswer: result.body.echo === body}
-	: {told: tellsOf(result.body), errorKind: String(result.body.kind), isOwnAnswer: true};
+	: {told: getFailureOutcome(result.body), errorKind: String(result.body.kind), isOwnAnswer: true};
 
-const cutOff = {told: 'cut', errorKind: undefined, isOwnAnswer: true} as const;
+const cutOffOutcome = {told: 'cut', errorKind: undefined, isOwnAnswer: true} as const;
 
-type Act = (address: string) => Promise<Pick<CallEvent, 'told' | 'errorKind' | 'isOwnAnswer'>>;
+type SendCall = (address: string) => Promise<Pick<CallEvent, 'told' | 'errorKind' | 'isOwnAnswer'>>;
 
-const actOrCut = async (act: Act, address: string): ReturnType<Act> => {
+const sendOrCutOff = async (sendCall: SendCall, address: string): ReturnType<SendCall> => {
 	try {
-		return await act(address);
+		return await sendCall(address);
 	} catch {
-		return cutOff;
+		return cutOffOutcome;
 	}
 };
 
 const recordCall = async (
-	world: StormWorld,
+	cluster: ChaosCluster,
 	call: Pick<CallEvent, 'kind' | 'key'>,
-	act: Act,
+	sendCall: SendCall,
 ): Promise<CallEvent> => {
-	const daemon = pickOne(world.daemons, world.random);
+	const daemon = pickRandom(cluster.daemons, cluster.random);
 	const sentAt = Date.now();
-	const outcome = await actOrCut(act, daemon.callers);
+	const outcome = await sendOrCutOff(sendCall, daemon.callers);
 	const event = {
 		...call, ...outcome, daemon: getDaemonId(daemon), sentAt, endedAt: Date.now(),
 	};
-	world.history.calls.push(event);
+	cluster.history.calls.push(event);
 	return event;
 };
 
-export const askRecorded = async (world: StormWorld, marker: string, tokens: number): Promise<CallEvent> =>
-	recordCall(world, {kind: 'stream', key: marker}, async address => describeStream(await askStream({address, marker, tokens})));
+export const askAndRecord = async (cluster: ChaosCluster, marker: string, tokens: number): Promise<CallEvent> =>
+	recordCall(cluster, {kind: 'stream', key: marker}, async address => toStreamOutcome(await askStream({address, marker, tokens})));
 
-const reserveUntilKnown = async (world: StormWorld, key: string): Promise<void> => {
+/** Retries a reservation with the same key until it is answered or the attempts are used up. */
+const reserveUntilKnown = async (cluster: ChaosCluster, key: string): Promise<void> => {
 	const body = JSON.stringify({key});
-	for (let sending = 0; sending < mostSendings; sending++) {
-		// eslint-disable-next-line no-await-in-loop -- sent again only after an answer
-		const event = await recordCall(world, {kind: 'once', key: body}, async address => describeOnce(await reserve({address, key, body}), body));
+	for (let attempt = 0; attempt < maxAttempts; attempt++) {
+		// eslint-disable-next-line no-await-in-loop -- a retry follows the previous response
+		const event = await recordCall(cluster, {kind: 'once', key: body}, async address => toReservationOutcome(await reserve({address, key, body}), body));
 		if (event.told === 'answered') {
 			return;
 		}
 
-		await sleep(pauseMs * (2 ** sending)); // eslint-disable-line no-await-in-loop -- time to mend
+		await sleep(pauseMs * (2 ** attempt)); // eslint-disable-line no-await-in-loop -- backoff before the next attempt
 	}
 };
 
-export const runStreamCaller = async (world: StormWorld, caller: number, tokens: number): Promise<void> => {
-	for (let index = 0; !world.isOver; index++) {
-		/* eslint-disable no-await-in-loop -- one question after the other */
-		await askRecorded(world, `s${caller}-${index}`, tokens);
+export const runStreamCaller = async (cluster: ChaosCluster, caller: number, tokens: number): Promise<void> => {
+	for (let index = 0; !cluster.isOver; index++) {
+		/* eslint-disable no-await-in-loop -- requests are sequential */
+		await askAndRecord(cluster, `s${caller}-${index}`, tokens);
 		await sleep(pauseMs);
 		/* eslint-enable no-await-in-loop */
 	}
 };
 
-export const runReservationCaller = async (world: StormWorld, caller: number): Promise<void> => {
-	for (let index = 0; !world.isOver; index++) {
-		/* eslint-disable no-await-in-loop -- one reservation after the other */
-		await reserveUntilKnown(world, `r${caller}-${index}`);
+export const runReservationCaller = async (cluster: ChaosCluster, caller: number): Promise<void> => {
+	for (let index = 0; !cluster.isOver; index++) {
+		/* eslint-disable no-await-in-loop -- reservations are sequential */
+		await reserveUntilKnown(cluster, `r${caller}-${index}`);
 		await sleep(pauseMs);
 		/* eslint-enable no-await-in-loop */
 	}
 };
 
-/** Writes down each change of the version that a daemon has in force. */
-export const watchVersions = async (world: StormWorld): Promise<void> => {
-	const last = new Map<string, number>();
-	while (!world.isOver) {
-		for (const daemon of world.daemons) {
+/** Records every change of the configuration version in force on each daemon. */
+export const recordVersions = async (cluster: ChaosCluster): Promise<void> => {
+	const lastVersions = new Map<string, number>();
+	while (!cluster.isOver) {
+		for (const daemon of cluster.daemons) {
 			const version = daemon.getVersion('default');
 			const id = getDaemonId(daemon);
-			if (last.get(id) !== version) {
-				last.set(id, version);
-				world.history.versions.push({daemon: id, version, at: Date.now()});
+			if (lastVersions.get(id) !== version) {
+				lastVersions.set(id, version);
+				cluster.history.versions.push({daemon: id, version, at: Date.now()});
 			}
 		}
 
-		await sleep(pauseMs); // eslint-disable-line no-await-in-loop -- looks again
+		await sleep(pauseMs); // eslint-disable-line no-await-in-loop -- polls
 	}
 };
--- a/scripts/measure/src/history/storm-world.ts
+++ b/scripts/measure/src/history/storm-world.ts
@@ -1,4 +1,4 @@
-/** The small system that the storm strikes: three zones, their daemons, engines and reservation servers. */
+/** The system under test in a chaos run: daemons, engines and reservation servers in three availability zones. */
 import {type Daemon} from '@shallotpass/daemon/start-daemon.js';
 import {startEngineStandIn, type EngineStandIn} from '@shallotpass/stand-ins/engine-stand-in.js';
 import {startPlainServiceStandIn, type PlainServiceStandIn} from '@shallotpass/stand-ins/plain-service-stand-in.js';
@@ -9,54 +9,57 @@
 
 export const crashMarker = 'POISON';
 
-export type StormEngine = {readonly id: string; readonly zone: string; readonly server: EngineStandIn};
+export type ChaosEngine = {readonly id: string; readonly zone: string; readonly server: EngineStandIn};
 
-export type StormWorld = {
+export type ChaosCluster = {
 	readonly fleet: ZonedFleet;
 	readonly clocks: ReadonlyMap<string, JumpingClock>;
 	readonly history: History;
 	readonly random: () => number;
 	readonly stepMs: number;
 	readonly services: ReadonlyArray<{readonly id: string; readonly server: PlainServiceStandIn}>;
-	/** Engines that run, and all that ever ran. */
-	engines: StormEngine[];
-	readonly allEngines: StormEngine[];
-	/** Engines that an action has in hand; another action leaves them alone. */
+	/** Engines that are currently in the instance list. */
+	engines: ChaosEngine[];
+	/** All engines ever started, including the removed ones. */
+	readonly allEngines: ChaosEngine[];
+	/** Ids of the engines held by an action; other actions must not touch them. */
 	readonly busyEngines: Set<string>;
-	/** Daemons that take calls. */
+	/** Daemons that callers may use. */
 	daemons: Daemon[];
+	/** Set at the end of the run; callers and watchers then stop. */
 	isOver: boolean;
-	started: number;
+	/** Number of engines started so far; numbers the next engine id. */
+	startedEngines: number;
 };
 
 export const getDaemonId = (daemon: Daemon): string => daemon.environment.settings.instance.id;
 
-export const pickOne = <Item>(items: readonly Item[], random: () => number): Item => items[Math.floor(random() * items.length)]!;
+export const pickRandom = <Item>(items: readonly Item[], random: () => number): Item => items[Math.floor(random() * items.length)]!;
 
-export const startStormEngine = async (world: StormWorld, zone: string): Promise<StormEngine> => {
-	world.started++;
-	const id = `engine-${world.started}`;
-	const server = await startEngineStandIn({models: ['assistant-7b'], parameters: {stepMs: world.stepMs}, crashMarker});
-	world.fleet.platform.list.put({
+export const startChaosEngine = async (cluster: ChaosCluster, zone: string): Promise<ChaosEngine> => {
+	cluster.startedEngines++;
+	const id = `engine-${cluster.startedEngines}`;
+	const server = await startEngineStandIn({models: ['assistant-7b'], parameters: {stepMs: cluster.stepMs}, crashMarker});
+	cluster.fleet.platform.list.put({
 		id, address: server.address, availabilityZone: zone, role: 'backend', state: 'live', services: ['assistant'],
 	});
 	const engine = {id, zone, server};
-	world.engines = [...world.engines, engine];
-	world.allEngines.push(engine);
+	cluster.engines = [...cluster.engines, engine];
+	cluster.allEngines.push(engine);
 	return engine;
 };
 
-/** Takes engines that are gone off the list and puts fresh ones in their place. */
-export const replaceEngines = async (world: StormWorld, gone: readonly StormEngine[]): Promise<void> => {
-	world.engines = world.engines.filter(engine => !gone.includes(engine));
-	for (const engine of gone) {
-		world.fleet.platform.list.remove(engine.id);
+/** Removes engines from the instance list and starts a new one in the same zone for each. */
+export const replaceEngines = async (cluster: ChaosCluster, removed: readonly ChaosEngine[]): Promise<void> => {
+	cluster.engines = cluster.engines.filter(engine => !removed.includes(engine));
+	for (const engine of removed) {
+		cluster.fleet.platform.list.remove(engine.id);
 	}
 
-	await Promise.all(gone.map(async engine => startStormEngine(world, engine.zone)));
+	await Promise.all(removed.map(async engine => startChaosEngine(cluster, engine.zone)));
 };
 
-const startServices = async (fleet: ZonedFleet): Promise<StormWorld['services']> => Promise.all(fleet.zones.map(async zone => {
+const startServices = async (fleet: ZonedFleet): Promise<ChaosCluster['services']> => Promise.all(fleet.zones.map(async zone => {
 	const id = `reservations-${zone.name}`;
 	const server = await startPlainServiceStandIn({id});
 	fleet.platform.list.put({
@@ -65,14 +68,14 @@
 	return {id, server};
 }));
 
-type WorldOptions = {
+type ClusterOptions = {
 	readonly random: () => number;
 	readonly daemonsPerZone: number;
 	readonly enginesPerZone: number;
 	readonly stepMs: number;
 };
 
-export const startStormWorld = async ({random, daemonsPerZone, enginesPerZone, stepMs}: WorldOptions): Promise<StormWorld> => {
+export const startChaosCluster = async ({random, daemonsPerZone, enginesPerZone, stepMs}: ClusterOptions): Promise<ChaosCluster> => {
 	const clocks = new Map<string, JumpingClock>();
 	const fleet = await startZonedFleet({
 		zones: 3,
@@ -83,7 +86,7 @@
 			return clock;
 		},
 	});
-	const world: StormWorld = {
+	const cluster: ChaosCluster = {
 		fleet,
 		clocks,
 		history: makeHistory(),
@@ -95,25 +98,25 @@
 		busyEngines: new Set(),
 		daemons: [...fleet.daemons],
 		isOver: false,
-		started: 0,
+		startedEngines: 0,
 	};
 	for (const zone of fleet.zones) {
-		await Promise.all(Array.from({length: enginesPerZone}, async () => startStormEngine(world, zone.name))); // eslint-disable-line no-await-in-loop -- few
+		await Promise.all(Array.from({length: enginesPerZone}, async () => startChaosEngine(cluster, zone.name))); // eslint-disable-line no-await-in-loop -- few zones
 	}
 
 	const applied = await applyThrough(fleet.daemons[0]!, makeConfigurationText());
-	world.history.accepted.push({version: applied.body.version!, at: Date.now()});
+	cluster.history.accepted.push({version: applied.body.version!, at: Date.now()});
 	await waitFor('the configuration is in force', () => fleet.daemons.every(daemon => daemon.getVersion('default') === applied.body.version));
-	const backends = world.engines.length + world.services.length;
+	const backends = cluster.engines.length + cluster.services.length;
 	await waitFor('the backend servers are known', async () => {
 		const texts = await Promise.all(fleet.daemons.map(async daemon => daemon.environment.metrics.registry.getSingleMetricAsString('shallotpass_backends')));
 		return texts.every(text => text.includes(`state="live"} ${backends}`));
 	});
-	return world;
+	return cluster;
 };
 
-/** Copies what backend servers saw into the history. */
-export const collectArrivals = ({history, allEngines, services}: StormWorld): void => {
+/** Copies the requests that the backend servers received into the history. */
+export const collectArrivals = ({history, allEngines, services}: ChaosCluster): void => {
 	for (const {id, server} of allEngines) {
 		history.arrivals.push(...server.arrivals.map(({marker, at}) => ({
 			kind: 'stream' as const, backend: id, key: marker, at,
@@ -127,7 +130,7 @@
 	}
 };
 
-export const closeStormWorld = async (world: StormWorld): Promise<void> => {
-	await world.fleet.close();
-	await Promise.all([...world.allEngines, ...world.services].map(async ({server}) => server.close()));
+export const closeChaosCluster = async (cluster: ChaosCluster): Promise<void> => {
+	await cluster.fleet.close();
+	await Promise.all([...cluster.allEngines, ...cluster.services].map(async ({server}) => server.close()));
 };
--- a/scripts/measure/src/history/types.ts
+++ b/scripts/measure/src/history/types.ts
@@ -1,29 +1,29 @@
-/** What happened in a run, as seen from outside: by callers, backend servers, operators and whoever did harm. */
+/** The history of a run as observed by callers, backend servers, operators and the fault injector. */
 
-export type Told =
+export type CallOutcome =
 	| 'answered'
-	/** Refused, and said not to have been run. */
+	/** Failed; the response said that the request was not executed. */
 	| 'not_run'
-	/** Refused, and said that it may have run. */
+	/** Failed; the response said that the request may have been executed. */
 	| 'unknown'
-	/** The connection ended without a word. */
+	/** The connection closed without a complete response. */
 	| 'cut';
 
 export type CallEvent = {
 	readonly kind: 'stream' | 'once';
-	/** Its own for each stream; shared by the sendings of one reservation. */
+	/** Unique for each stream; shared by all attempts of one reservation. */
 	readonly key: string;
 	readonly daemon: string;
-	/** Milliseconds since the epoch, like all moments here. */
+	/** Milliseconds since the Unix epoch, as are all times in this file. */
 	readonly sentAt: number;
 	readonly endedAt: number;
-	readonly told: Told;
+	readonly told: CallOutcome;
 	readonly errorKind: string | undefined;
-	/** Whether all that the caller got was its own, in order, and to the end when `told` is `answered`. */
+	/** Whether everything that the caller received belongs to its own request and is in order; complete too if the call was answered. */
 	readonly isOwnAnswer: boolean;
 };
 
-/** A request that reached a backend server. */
+/** A request as a backend server received it. */
 export type ArrivalEvent = {
 	readonly kind: 'stream' | 'once';
 	readonly backend: string;
@@ -31,13 +31,14 @@
 	readonly at: number;
 };
 
-/** An announced reclaim; from `leavesAt` on the backend server is gone. */
+/** A reclaim announced in advance; the backend server is gone from `leavesAt` on. */
 export type NoticeEvent = {
 	readonly backend: string;
 	readonly at: number;
 	readonly leavesAt: number;
 };
 
+/** A configuration version in force on a daemon. */
 export type VersionEvent = {
 	readonly daemon: string;
 	readonly version: number;
@@ -50,10 +51,10 @@
 	readonly at: number;
 };
 
-/** Harm that is no announced reclaim and no planned stop, and may leave an outcome unknown. */
-export type HarmEvent = {
+/** An injected fault other than an announced reclaim or a planned stop; it may leave the outcome of a call unknown. */
+export type FaultEvent = {
 	readonly what: string;
-	/** The one daemon that it struck, streams included; absent when it was the platform or a network. */
+	/** The only affected daemon, whose streams may fail too; absent for faults of the platform or the network. */
 	readonly daemon?: string;
 	readonly from: number;
 	readonly to: number;
@@ -64,13 +65,13 @@
 	readonly arrivals: ArrivalEvent[];
 	readonly notices: NoticeEvent[];
 	readonly versions: VersionEvent[];
-	/** Configurations that operators were told are accepted. */
+	/** Configurations reported to an operator as accepted. */
 	readonly accepted: Array<{readonly version: number; readonly at: number}>;
 	readonly stops: StopEvent[];
-	readonly harms: HarmEvent[];
-	/** Daemons that run at the end, with the version in force there. */
+	readonly harms: FaultEvent[];
+	/** The configuration version of each daemon that is still running at the end. */
 	readonly finalVersions: VersionEvent[];
-	/** Backend servers that one request ended. */
+	/** Number of backend servers that each crashing request brought down. */
 	readonly crashedBy: Array<{readonly key: string; readonly backends: number}>;
 };
 
