--- a/scripts/measure/src/routing/deployment.ts
+++ b/scripts/measure/src/routing/deployment.ts
@@ -1,9 +1,9 @@
-/** A deployment on paper: its engines, its client accounts, and the work they bring. */
+/** Schema of a simulated deployment: engines, client accounts and workloads. Also computes the capacity of its engines. */
 import {z} from 'zod';
 
 const machine = z.strictObject({
 	name: z.string(),
-	/** Credits an hour, reclaimable. */
+	/** Credits per hour for a reclaimable instance. */
 	price: z.number().positive(),
 	stepMs: z.number().positive(),
 	sequenceMs: z.number().nonnegative(),
@@ -21,20 +21,20 @@
 	rank: z.int().nonnegative(),
 	firstTokenMs: z.number().positive().optional(),
 	betweenTokensMs: z.number().positive().optional(),
-	/** The whole answer is late after this. */
+	/** Maximum time from arrival to the end of the answer. */
 	wholeWithinMs: z.number().positive(),
 });
 
 const work = z.strictObject({
 	class: z.string(),
-	/** Part of all chat requests. */
+	/** Relative share of all chat requests. */
 	part: z.number().positive(),
-	/** Texts of each account that are read again and again; 0 for questions that share only the instructions. */
+	/** Number of documents per account that recur in prompts; 0 if the prompts share only the instructions. */
 	documents: z.int().nonnegative(),
 	documentTokens: z.tuple([z.int(), z.int()]),
-	/** Exponent of Zipf's law over the documents; 0 for all alike. */
+	/** Zipf exponent of the documents' popularity; 0 is a uniform distribution. */
 	popularity: z.number().nonnegative(),
-	/** Tokens of the instructions that all requests of the work begin with. */
+	/** Length of the instructions that all prompts of this workload start with. */
 	instructionTokens: z.int().nonnegative(),
 	questionTokens: z.tuple([z.int(), z.int()]),
 	answerTokens: z.tuple([z.int(), z.int()]),
@@ -43,9 +43,9 @@
 export const deploymentSchema = z.strictObject({
 	name: z.string(),
 	daemons: z.int().positive(),
-	/** Part of document tokens that is taken to be cached when the load is worked out. */
+	/** Share of document tokens assumed to be cached when the capacity is computed. */
 	assumedReuse: z.number().min(0).max(1),
-	/** Plain calls a second at a load of 1, their servers, and how long each holds its server. */
+	/** Plain service: calls per second at a load of 1, number of servers, and service time of one call. */
 	plain: z.strictObject({
 		service: z.string(), servers: z.int().positive(), perSecond: z.number().positive(), callMs: z.number().positive(),
 	}),
@@ -58,15 +58,15 @@
 
 export type Deployment = z.output<typeof deploymentSchema>;
 export type Machine = Deployment['machine'][number];
-export type Work = Deployment['work'][number];
-export type ClassTarget = Deployment['class'][number];
+export type Workload = Deployment['work'][number];
+export type LatencyClass = Deployment['class'][number];
 
 export type PlacedEngine = {readonly id: string; readonly availabilityZone: string; readonly machine: Machine};
 
 export const listEngines = (deployment: Deployment): PlacedEngine[] => deployment.engine.flatMap(group => {
 	const found = deployment.machine.find(item => item.name === group.machine);
 	if (found === undefined) {
-		throw new Error(`engine: machine ${group.machine} is not described; described are ${deployment.machine.map(item => item.name).join(', ')}`);
+		throw new Error(`engine: machine "${group.machine}" is not defined; defined machines: ${deployment.machine.map(item => item.name).join(', ')}`);
 	}
 
 	return Array.from({length: group.count}, (_value, index) => ({
@@ -76,54 +76,54 @@
 
 const getMean = ([low, high]: readonly [number, number]): number => (low + high) / 2;
 
-type MeanRequest = {readonly readTokens: number; readonly answerTokens: number};
+type MeanRequest = {readonly prefillTokens: number; readonly answerTokens: number};
 
-/** What one chat request is on the mean, with the assumed part of its document cached. */
+/** Computes the mean size of a chat request, counting only the uncached part of its document. */
 const computeMeanRequest = ({work: items, assumedReuse}: Deployment): MeanRequest => {
-	let parts = 0;
-	let readTokens = 0;
+	let partSum = 0;
+	let prefillTokens = 0;
 	let answerTokens = 0;
 	for (const item of items) {
 		const documentTokens = item.documents > 0 ? getMean(item.documentTokens) : 0;
-		parts += item.part;
-		readTokens += item.part * ((documentTokens * (1 - assumedReuse)) + getMean(item.questionTokens));
+		partSum += item.part;
+		prefillTokens += item.part * ((documentTokens * (1 - assumedReuse)) + getMean(item.questionTokens));
 		answerTokens += item.part * getMean(item.answerTokens);
 	}
 
-	return {readTokens: readTokens / parts, answerTokens: answerTokens / parts};
+	return {prefillTokens: prefillTokens / partSum, answerTokens: answerTokens / partSum};
 };
 
-type BestBatch = {readonly perSecond: number; readonly running: number};
+type BatchCapacity = {readonly perSecond: number; readonly running: number};
 
 /**
- * Requests a second that one engine carries while its tokens keep their interval.
- * With n sequences a step takes s(n); the part of the time left for reading is
- * 1 - s(n) / interval, and n tokens come in each interval. The best n counts.
+ * Finds the batch size at which an engine serves most requests per second without exceeding the interval between tokens.
+ * A step with n sequences takes s(n). The share of time left for prefill is 1 - s(n) / interval,
+ * and n tokens are decoded per interval.
  */
-const findBestBatch = ({stepMs, sequenceMs, prefillTokenMs, mostRunning}: Machine, {readTokens, answerTokens}: MeanRequest, intervalMs: number): BestBatch => {
-	let best: BestBatch = {perSecond: 0, running: 1};
+const findBestBatch = ({stepMs, sequenceMs, prefillTokenMs, mostRunning}: Machine, {prefillTokens, answerTokens}: MeanRequest, intervalMs: number): BatchCapacity => {
+	let best: BatchCapacity = {perSecond: 0, running: 1};
 	for (let running = 1; running <= mostRunning; running++) {
-		const readingPart = 1 - ((stepMs + (running * sequenceMs)) / intervalMs);
-		const byReading = readingPart * 1000 / (readTokens * prefillTokenMs);
-		const byAnswering = running * 1000 / intervalMs / answerTokens;
-		const perSecond = Math.min(byReading, byAnswering);
+		const prefillShare = 1 - ((stepMs + (running * sequenceMs)) / intervalMs);
+		const prefillPerSecond = prefillShare * 1000 / (prefillTokens * prefillTokenMs);
+		const decodePerSecond = running * 1000 / intervalMs / answerTokens;
+		const perSecond = Math.min(prefillPerSecond, decodePerSecond);
 		best = perSecond > best.perSecond ? {perSecond, running} : best;
 	}
 
 	return best;
 };
 
-const getStrictestInterval = (deployment: Deployment): number =>
+const getStrictestIntervalMs = (deployment: Deployment): number =>
 	Math.min(...deployment.class.map(item => item.betweenTokensMs ?? Number.POSITIVE_INFINITY));
 
-/** Answers that a machine runs at once when it carries most within the strictest interval: what operators would put down as its places. */
+/** Returns the number of concurrent answers at which a machine serves most requests within the strictest token interval, as operators would configure it. */
 export const computePlaces = (deployment: Deployment, machine: Machine): number =>
-	findBestBatch(machine, computeMeanRequest(deployment), getStrictestInterval(deployment)).running;
+	findBestBatch(machine, computeMeanRequest(deployment), getStrictestIntervalMs(deployment)).running;
 
-/** Chat requests a second that the engines carry together within the strictest interval between tokens: a load of 1. */
+/** Returns the chat requests per second that all engines together serve within the strictest token interval. This is a load of 1. */
 export const computeCapacity = (deployment: Deployment): number => {
 	const request = computeMeanRequest(deployment);
-	const intervalMs = getStrictestInterval(deployment);
+	const intervalMs = getStrictestIntervalMs(deployment);
 	let capacity = 0;
 	for (const {machine: engine} of listEngines(deployment)) {
 		capacity += findBestBatch(engine, request, intervalMs).perSecond;
--- a/scripts/measure/src/routing/entry-daemon.ts
+++ b/scripts/measure/src/routing/entry-daemon.ts
@@ -1,4 +1,4 @@
-/** The deciding part of a daemon, the real one: its gate, its registry and a policy, before engines on a controlled clock. */
+/** A daemon in the simulation: the real admission gate, backend registry and routing policy in front of simulated engines. */
 import {setMaxListeners} from 'node:events';
 import {type Account} from '@shallotpass/common/configuration-schema.js';
 import {type ErrorKind} from '@shallotpass/common/error-kinds.js';
@@ -14,7 +14,7 @@
 import {makeLogger} from '@shallotpass/telemetry/logger.js';
 import {makeMetrics} from '@shallotpass/telemetry/metrics.js';
 import {makeSettings} from '../local-fleet.js';
-import {type ClassTarget, type Deployment} from './deployment.js';
+import {type LatencyClass, type Deployment} from './deployment.js';
 import {type HostedEngine, type RunOutcome} from './hosted-engine.js';
 import {type ChatArrival, type PlainArrival} from './make-requests.js';
 import {type ManualClock} from './manual-clock.js';
@@ -27,14 +27,14 @@
 	readonly endedAt: number;
 	readonly tokens: number;
 	readonly attempts: number;
-	/** Kind of the refusal; undefined when the answer is whole. */
+	/** Error kind if the request failed; undefined if the answer is complete. */
 	readonly refusedAs: ErrorKind | undefined;
 };
 
 export type EntryDaemon = {
 	readonly registry: BackendRegistry;
 	readonly serve: (arrival: ChatArrival) => Promise<ChatResult>;
-	/** Time from arrival to answer, in milliseconds; undefined when no server was there. */
+	/** Resolves to the time from arrival to answer in milliseconds; undefined if there was no server. */
 	readonly servePlain: (arrival: PlainArrival) => Promise<number | undefined>;
 };
 
@@ -52,19 +52,19 @@
 	name, share, keySha256: [], services: [chatService], classes: [],
 });
 
-/** A signal that is never aborted, with as many listeners as there are requests. */
-const makeQuietSignal = (): AbortSignal => {
+/** Makes a signal that is never aborted. It has no listener limit, since every request adds one. */
+const makeNeverAbortedSignal = (): AbortSignal => {
 	const {signal} = new AbortController();
 	setMaxListeners(0, signal);
 	return signal;
 };
 
-const getTarget = ({firstTokenMs, betweenTokensMs}: ClassTarget): LatencyTarget | undefined =>
+const getTarget = ({firstTokenMs, betweenTokensMs}: LatencyClass): LatencyTarget | undefined =>
 	firstTokenMs === undefined ? undefined : {firstTokenMs, betweenTokensMs};
 
 const blockTokens = estimateTokens(blockCharacters);
-const mostTries = 6;
-const lookAgainMs = 200;
+const maxAttempts = 6;
+const noBackendRetryMs = 200;
 
 const makeConfigurationText = (deployment: Deployment): string => [
 	...deployment.class.flatMap(item => [
@@ -78,8 +78,8 @@
 	`name = "${chatService}"`,
 	'kind = "model"',
 	'models = ["assistant-7b"]',
-	...[...new Set(deployment.engine.map(group => `${group.availabilityZone} ${group.machine}`))].flatMap(place => {
-		const [zone, name] = place.split(' ');
+	...[...new Set(deployment.engine.map(group => `${group.availabilityZone} ${group.machine}`))].flatMap(zoneAndMachine => {
+		const [zone, name] = zoneAndMachine.split(' ');
 		const {price} = (deployment.machine.find(item => item.name === name)!);
 		return ['[[price]]', `availability_zone = "${zone}"`, `machine_class = "${name}"`, `reclaimable = ${price}`, `on_demand = ${price * 3}`];
 	}),
@@ -98,7 +98,7 @@
 		random,
 		metrics: makeMetrics(),
 		makeLogger: task => makeLogger(task, id),
-		signal: makeQuietSignal(),
+		signal: makeNeverAbortedSignal(),
 	};
 	const registry = makeBackendRegistry({environment, policy});
 	const accepted = activateConfiguration(noActiveConfigurations, {
@@ -111,84 +111,84 @@
 	registry.applyConfigurations(accepted.inForce);
 	const gate = makeAdmissionGate({environment, getCapacity: registry.countSlots, countMembers: () => deployment.daemons});
 
-	const enter = async (arrival: ChatArrival, target: ClassTarget): Promise<() => void> => {
+	const admit = async (arrival: ChatArrival, latencyClass: LatencyClass): Promise<() => void> => {
 		const account = deployment.account.find(item => item.name === arrival.account)!;
 		return gate.admit({
 			id: arrival.id,
 			team: defaultTeam,
 			account: makeAccount(account),
 			serviceId: chatService,
-			rank: target.rank,
-			isPatient: target.firstTokenMs === undefined,
-			firstTokenMs: target.firstTokenMs,
+			rank: latencyClass.rank,
+			isPatient: latencyClass.firstTokenMs === undefined,
+			firstTokenMs: latencyClass.firstTokenMs,
 			work: arrival.promptTokens + arrival.answerTokens,
-			deadline: addMilliseconds(arrival.at, target.wholeWithinMs),
+			deadline: addMilliseconds(arrival.at, latencyClass.wholeWithinMs),
 			signal: environment.signal,
 		});
 	};
 
-	const choose = (arrival: ChatArrival, target: ClassTarget, tokens: number, excluded: ReadonlySet<string>): BackendView | undefined => registry.choose({
+	const chooseBackend = (arrival: ChatArrival, latencyClass: LatencyClass, tokens: number, excluded: ReadonlySet<string>): BackendView | undefined => registry.choose({
 		service: chatService,
 		promptTokens: arrival.promptTokens + tokens,
 		chain: arrival.chain,
 		expectedTokens: arrival.answerTokens - tokens,
 		now: clock.now(),
 		availabilityZone,
-		target: getTarget(target),
+		target: getTarget(latencyClass),
 		excluded,
 	});
 
-	const runAt = async (arrival: ChatArrival, target: ClassTarget, view: BackendView, tokens: number): Promise<RunOutcome> => {
+	const runOnEngine = async (arrival: ChatArrival, latencyClass: LatencyClass, backend: BackendView, tokens: number): Promise<RunOutcome> => {
 		const startedAt = clock.now();
-		const unread = Math.max(0, arrival.promptTokens - (registry.countCachedBlocks(view.id, arrival.chain) * blockTokens));
-		const isUrgent = target.firstTokenMs !== undefined;
-		registry.begin(view.id, {promptTokens: unread, isUrgent});
-		const outcome = await findEngine(view.id).run({
-			id: `${arrival.id}-${tokens}`, prompt: '', promptTokens: arrival.promptTokens, chain: arrival.chain, priority: target.rank, maxTokens: arrival.answerTokens, resumeAfter: tokens - 1,
+		const uncachedTokens = Math.max(0, arrival.promptTokens - (registry.countCachedBlocks(backend.id, arrival.chain) * blockTokens));
+		const isUrgent = latencyClass.firstTokenMs !== undefined;
+		registry.begin(backend.id, {promptTokens: uncachedTokens, isUrgent});
+		const outcome = await findEngine(backend.id).run({
+			id: `${arrival.id}-${tokens}`, prompt: '', promptTokens: arrival.promptTokens, chain: arrival.chain, priority: latencyClass.rank, maxTokens: arrival.answerTokens, resumeAfter: tokens - 1,
 		}, () => {
-			registry.recordPromptProcessed(view.id, unread);
+			registry.recordPromptProcessed(backend.id, uncachedTokens);
 		});
 		if (outcome.firstTokenAt === undefined) {
-			registry.recordPromptProcessed(view.id, unread);
+			registry.recordPromptProcessed(backend.id, uncachedTokens);
 		}
 
-		registry.end(view.id, isUrgent);
-		if (outcome.isWhole && outcome.firstTokenAt !== undefined) {
+		registry.end(backend.id, isUrgent);
+		if (outcome.isComplete && outcome.firstTokenAt !== undefined) {
 			const tokenMs = outcome.tokens > 1 ? (clock.now() - outcome.firstTokenAt) / (outcome.tokens - 1) : undefined;
-			registry.recordSpeedSample(view.id, {
+			registry.recordSpeedSample(backend.id, {
 				firstTokenMs: outcome.firstTokenAt - startedAt,
 				tokenMs,
-				isLate: isLate(tokenMs, getTarget(target)),
-				uncachedTokens: unread,
+				isLate: isLate(tokenMs, getTarget(latencyClass)),
+				uncachedTokens,
 			}, arrival.chain);
 		}
 
 		return outcome;
 	};
 
-	const answer = async (arrival: ChatArrival, target: ClassTarget): Promise<Omit<ChatResult, 'arrival' | 'endedAt'>> => {
+	const generateAnswer = async (arrival: ChatArrival, latencyClass: LatencyClass): Promise<Omit<ChatResult, 'arrival' | 'endedAt'>> => {
 		const excluded = new Set<string>();
 		let firstTokenAt: number | undefined;
 		let tokens = 0;
 		let attempts = 0;
-		while (attempts < mostTries && clock.now() < arrival.at + target.wholeWithinMs) {
-			const view = choose(arrival, target, tokens, excluded);
-			if (view === undefined) {
-				await clock.waitUntil((clock.now() + lookAgainMs) as Deadline); // eslint-disable-line no-await-in-loop -- a replacement may come
+		while (attempts < maxAttempts && clock.now() < arrival.at + latencyClass.wholeWithinMs) {
+			const backend = chooseBackend(arrival, latencyClass, tokens, excluded);
+			if (backend === undefined) {
+				await clock.waitUntil((clock.now() + noBackendRetryMs) as Deadline); // eslint-disable-line no-await-in-loop -- a replacement engine may join
 				continue;
 			}
 
 			attempts++;
-			const outcome = await runAt(arrival, target, view, tokens); // eslint-disable-line no-await-in-loop -- one try after the other
+			const outcome = await runOnEngine(arrival, latencyClass, backend, tokens); // eslint-disable-line no-await-in-loop -- attempts are sequential
 			firstTokenAt ??= outcome.firstTokenAt;
 			tokens += outcome.tokens;
-			if (outcome.isWhole) {
+			if (outcome.isComplete) {
 				return {
 					firstTokenAt, tokens, attempts, refusedAs: undefined,
 				};
 			}
 
-			excluded.add(view.id);
+			excluded.add(backend.id);
 		}
 
 		return {
@@ -199,25 +199,25 @@
 	return {
 		registry,
 		async servePlain(arrival) {
-			const view = registry.choose({
+			const backend = registry.choose({
 				service: deployment.plain.service, promptTokens: 0, chain: [], expectedTokens: 1, now: clock.now(), availabilityZone, target: undefined, excluded: new Set(),
 			});
-			if (view === undefined) {
+			if (backend === undefined) {
 				return undefined;
 			}
 
-			registry.begin(view.id);
-			await runPlain(view.id);
-			registry.end(view.id);
-			registry.recordSpeedSample(view.id, {firstTokenMs: clock.now() - arrival.at, uncachedTokens: 0}, []);
+			registry.begin(backend.id);
+			await runPlain(backend.id);
+			registry.end(backend.id);
+			registry.recordSpeedSample(backend.id, {firstTokenMs: clock.now() - arrival.at, uncachedTokens: 0}, []);
 			return clock.now() - arrival.at;
 		},
 		async serve(arrival) {
-			const target = deployment.class.find(item => item.name === arrival.class)!;
+			const latencyClass = deployment.class.find(item => item.name === arrival.class)!;
 			try {
-				const release = await enter(arrival, target);
+				const release = await admit(arrival, latencyClass);
 				try {
-					const result = await answer(arrival, target);
+					const result = await generateAnswer(arrival, latencyClass);
 					return {arrival, endedAt: clock.now(), ...result};
 				} finally {
 					release();
--- a/scripts/measure/src/routing/hosted-engine.ts
+++ b/scripts/measure/src/routing/hosted-engine.ts
@@ -1,4 +1,4 @@
-/** The stand-in engine's core on a controlled clock: it runs its steps one after the other while it has work. */
+/** Runs the stand-in engine's core on a manual clock: one batch step after the other while it has jobs. */
 import {makeEngineCore, type EngineCounts, type EngineJob} from '@shallotpass/stand-ins/engine-core.js';
 import {type CacheEvent} from '@shallotpass/backends/engine-events.js';
 import {type LoadReport} from '@shallotpass/core/routing/types.js';
@@ -6,27 +6,27 @@
 import {type ManualClock} from './manual-clock.js';
 
 export type RunOutcome = {
-	/** Tokens that came in this run. */
+	/** Number of tokens generated in this run. */
 	readonly tokens: number;
 	readonly firstTokenAt: number | undefined;
-	readonly isWhole: boolean;
+	readonly isComplete: boolean;
 };
 
 export type HostedEngine = PlacedEngine & {
-	/** Resolves when the answer is whole, or when the engine is taken away. */
+	/** Resolves when the answer is complete or the engine is terminated. */
 	readonly run: (job: EngineJob, onFirstToken: () => void) => Promise<RunOutcome>;
-	/** Ends what runs there. */
+	/** Terminates the engine and its running jobs. */
 	readonly takeAway: () => void;
-	/** The report, as old as the engine's lag makes it. */
+	/** Returns the last load report, which is up to `loadLagMs` old. */
 	readonly getReport: () => LoadReport;
-	/** Cache events since the last call. */
+	/** Returns the cache events since the last call. */
 	readonly takeEvents: () => CacheEvent[];
 	readonly counts: Readonly<EngineCounts>;
-	/** Whether it was ever sent a job whose id begins so. */
+	/** Whether the engine ever received a job of the request. */
 	readonly hasSeen: (requestId: string) => boolean;
 };
 
-type OpenJob = {
+type RunningJob = {
 	tokens: number;
 	firstTokenAt: number | undefined;
 	readonly onFirstToken: () => void;
@@ -37,19 +37,19 @@
 	const {name: _name, price: _price, ...parameters} = placed.machine;
 	const {loadLagMs} = parameters;
 	const core = makeEngineCore({...parameters, paceMs: 0});
-	const jobs = new Map<string, OpenJob>();
-	const seen = new Set<string>();
+	const jobs = new Map<string, RunningJob>();
+	const seenRequestIds = new Set<string>();
 	let isStepping = false;
-	let isGone = false;
+	let isTerminated = false;
 	let report: LoadReport = {...core.getLoad(), at: clock.now()};
 
-	const finish = (id: string, isWhole: boolean): void => {
+	const finish = (id: string, isComplete: boolean): void => {
 		const job = jobs.get(id);
 		jobs.delete(id);
-		job?.resolve({tokens: job.tokens, firstTokenAt: job.firstTokenAt, isWhole});
+		job?.resolve({tokens: job.tokens, firstTokenAt: job.firstTokenAt, isComplete});
 	};
 
-	const takeToken = (id: string, isLast: boolean): void => {
+	const handleToken = (id: string, isLast: boolean): void => {
 		const job = jobs.get(id);
 		if (job === undefined) {
 			return;
@@ -67,7 +67,7 @@
 	};
 
 	const step = (): void => {
-		const result = isGone ? undefined : core.step();
+		const result = isTerminated ? undefined : core.step();
 		isStepping = result !== undefined;
 		if (result === undefined) {
 			return;
@@ -75,7 +75,7 @@
 
 		clock.schedule(clock.now() + result.durationMs, () => {
 			for (const {id, isLast} of result.tokens) {
-				takeToken(id, isLast);
+				handleToken(id, isLast);
 			}
 
 			step();
@@ -86,12 +86,12 @@
 		...placed,
 		async run(job, onFirstToken) {
 			return new Promise<RunOutcome>(resolve => {
-				if (isGone) {
-					resolve({tokens: 0, firstTokenAt: undefined, isWhole: false});
+				if (isTerminated) {
+					resolve({tokens: 0, firstTokenAt: undefined, isComplete: false});
 					return;
 				}
 
-				seen.add(job.id.slice(0, job.id.lastIndexOf('-')));
+				seenRequestIds.add(job.id.slice(0, job.id.lastIndexOf('-')));
 				jobs.set(job.id, {
 					tokens: 0, firstTokenAt: undefined, onFirstToken, resolve,
 				});
@@ -102,7 +102,7 @@
 			});
 		},
 		takeAway() {
-			isGone = true;
+			isTerminated = true;
 			for (const id of jobs.keys()) {
 				core.cancel(id);
 				finish(id, false);
@@ -117,6 +117,6 @@
 		},
 		takeEvents: () => core.takeEvents().map(({kind, blocks}) => ({kind, blocks: blocks.map(block => BigInt(`0x${block}`))})),
 		counts: core.counts,
-		hasSeen: requestId => seen.has(requestId),
+		hasSeen: requestId => seenRequestIds.has(requestId),
 	};
 };
--- a/scripts/measure/src/routing/make-requests.ts
+++ b/scripts/measure/src/routing/make-requests.ts
@@ -1,7 +1,7 @@
-/** The requests of one run, from a seed: the same ones for every policy. */
+/** Generates the requests of one run from a seed, so that every policy is measured on the same requests. */
 import {blockCharacters, estimateTokens, hashPrompt} from '@shallotpass/core/routing/hash-prompt.js';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
-import {computeCapacity, type Deployment, type Work} from './deployment.js';
+import {computeCapacity, type Deployment, type Workload} from './deployment.js';
 
 export type ChatArrival = {
 	readonly kind: 'chat';
@@ -20,7 +20,7 @@
 
 const charactersPerToken = blockCharacters / estimateTokens(blockCharacters);
 
-/** Text of so many tokens that no other name gives. */
+/** Makes a text of the given number of tokens that is unique to the name. */
 const makeText = (name: string, tokens: number): string => {
 	const characters = Math.round(tokens * charactersPerToken);
 	return `${name} `.repeat(Math.ceil(characters / (name.length + 1))).slice(0, characters);
@@ -31,10 +31,10 @@
 const pickBetween = (random: Random, [low, high]: readonly [number, number]): number => Math.round(low + (random() * (high - low)));
 
 const pickWeighted = <Item>(random: Random, items: readonly Item[], getWeight: (item: Item, index: number) => number): Item => {
-	let left = random() * items.reduce((sum, item, index) => sum + getWeight(item, index), 0);
+	let remaining = random() * items.reduce((sum, item, index) => sum + getWeight(item, index), 0);
 	for (const [index, item] of items.entries()) {
-		left -= getWeight(item, index);
-		if (left <= 0) {
+		remaining -= getWeight(item, index);
+		if (remaining <= 0) {
 			return item;
 		}
 	}
@@ -42,35 +42,35 @@
 	return items.at(-1)!;
 };
 
-/** Documents of each account and work, made once: hashing them anew for each request would take longer than the run. */
+/** Makes the documents of each account and workload once, because making them again for every request would take longer than the run. */
 const makeDocuments = (deployment: Deployment, random: Random): ReadonlyMap<string, readonly string[]> => new Map(deployment.account.flatMap(account =>
 	deployment.work.map(item => [
 		`${account.name}/${item.class}`,
 		Array.from({length: item.documents}, (_value, index) => makeText(`${account.name}-${item.class}-${index}`, pickBetween(random, item.documentTokens))),
 	] as const)));
 
-const makePrompt = (random: Random, id: string, item: Work, documents: readonly string[]): string => {
+const makePrompt = (random: Random, id: string, item: Workload, documents: readonly string[]): string => {
 	const ranked = documents.map((text, index) => ({text, weight: 1 / ((index + 1) ** item.popularity)}));
 	const text = ranked.length === 0 ? '' : pickWeighted(random, ranked, document => document.weight).text;
 	return `${makeText(`instructions-${item.class}`, item.instructionTokens)}${text}${makeText(id, pickBetween(random, item.questionTokens))}`;
 };
 
-/** Moments of a Poisson process. */
-const listMoments = (random: Random, perSecond: number, untilMs: number): number[] => {
-	const moments: number[] = [];
+/** Generates the arrival times of a Poisson process. */
+const generateArrivalTimes = (random: Random, perSecond: number, untilMs: number): number[] => {
+	const times: number[] = [];
 	for (let at = 0; ;) {
 		at -= Math.log(1 - random()) * 1000 / perSecond;
 		if (at >= untilMs) {
-			return moments;
+			return times;
 		}
 
-		moments.push(at);
+		times.push(at);
 	}
 };
 
 type RequestOptions = {
 	readonly deployment: Deployment;
-	/** 1 is what the engines carry together with full batches. */
+	/** Load relative to `computeCapacity`. */
 	readonly load: number;
 	readonly untilMs: number;
 	readonly seed: number;
@@ -79,7 +79,7 @@
 export const makeRequests = ({deployment, load, untilMs, seed}: RequestOptions): Arrival[] => {
 	const random = makeRandom(seed);
 	const documents = makeDocuments(deployment, random);
-	const chats = listMoments(random, computeCapacity(deployment) * load, untilMs).map((at, index): ChatArrival => {
+	const chatArrivals = generateArrivalTimes(random, computeCapacity(deployment) * load, untilMs).map((at, index): ChatArrival => {
 		const account = pickWeighted(random, deployment.account, ({part}) => part);
 		const item = pickWeighted(random, deployment.work, ({part}) => part);
 		const id = `chat-${index}`;
@@ -95,8 +95,8 @@
 			answerTokens: pickBetween(random, item.answerTokens),
 		};
 	});
-	const plains = listMoments(random, deployment.plain.perSecond * load, untilMs).map((at, index): PlainArrival => ({
+	const plainArrivals = generateArrivalTimes(random, deployment.plain.perSecond * load, untilMs).map((at, index): PlainArrival => ({
 		kind: 'plain', id: `plain-${index}`, at, account: pickWeighted(random, deployment.account, ({part}) => part).name,
 	}));
-	return [...chats, ...plains].toSorted((left, right) => left.at - right.at);
+	return [...chatArrivals, ...plainArrivals].toSorted((left, right) => left.at - right.at);
 };
--- a/scripts/measure/src/routing/manual-clock.ts
+++ b/scripts/measure/src/routing/manual-clock.ts
@@ -1,33 +1,33 @@
-/** A clock that is moved from one awaited moment to the next. */
+/** A clock for simulations that jumps from one scheduled time to the next. */
 import {type Clock} from '@shallotpass/common/clock.js';
 
 export type ManualClock = Clock & {
-	/** Does something at the moment; things of one moment are done in the order in which they were asked for. */
-	readonly schedule: (at: number, act: () => void) => void;
-	/** Goes to the next moment that is awaited; false when there is none. */
+	/** Schedules a callback; callbacks for the same time run in the order in which they were scheduled. */
+	readonly schedule: (at: number, callback: () => void) => void;
+	/** Advances to the next scheduled time and runs one callback; returns false if nothing is scheduled. */
 	readonly advance: () => boolean;
 };
 
-type Appointment = {readonly at: number; readonly act: () => void};
+type ScheduledCallback = {readonly at: number; readonly callback: () => void};
 
 export const makeManualClock = (): ManualClock => {
 	let now = 0;
-	/** Sorted by time, the next one last. */
-	const appointments: Appointment[] = [];
-	const schedule = (at: number, act: () => void): void => {
-		const moment = Math.max(now, at);
+	/** Sorted by descending time, so that the next callback is last. */
+	const queue: ScheduledCallback[] = [];
+	const schedule = (at: number, callback: () => void): void => {
+		const time = Math.max(now, at);
 		let low = 0;
-		let high = appointments.length;
+		let high = queue.length;
 		while (low < high) {
 			const middle = Math.floor((low + high) / 2);
-			if (appointments[middle]!.at > moment) {
+			if (queue[middle]!.at > time) {
 				low = middle + 1;
 			} else {
 				high = middle;
 			}
 		}
 
-		appointments.splice(low, 0, {at: moment, act});
+		queue.splice(low, 0, {at: time, callback});
 	};
 
 	return {
@@ -39,13 +39,13 @@
 			});
 		},
 		advance() {
-			const next = appointments.pop();
+			const next = queue.pop();
 			if (next === undefined) {
 				return false;
 			}
 
 			now = next.at;
-			next.act();
+			next.callback();
 			return true;
 		},
 	};
--- a/scripts/measure/src/routing/policy-table.ts
+++ b/scripts/measure/src/routing/policy-table.ts
@@ -1,4 +1,4 @@
-/** The policies of the comparison by name; all but the last are baselines. */
+/** The routing policies that the experiment compares, by name; all but the last are baselines. */
 import {
 	chooseLeastRequests, chooseLowestCost, choosePrefixAffinity, choosePowerOfTwo, makeRoundRobin,
 } from '@shallotpass/core/routing/policies.js';
@@ -17,7 +17,7 @@
 export const findPolicy = (name: string): NamedPolicy => {
 	const found = comparedPolicies.find(policy => policy.name === name);
 	if (found === undefined) {
-		throw new Error(`no policy is named ${name}`);
+		throw new Error(`unknown routing policy "${name}"`);
 	}
 
 	return found;
--- a/scripts/measure/src/routing/read-deployment.ts
+++ b/scripts/measure/src/routing/read-deployment.ts
@@ -3,13 +3,13 @@
 import {formatMistake, readToml} from '@shallotpass/common/toml-file.js';
 import {deploymentSchema, type Deployment} from './deployment.js';
 
-/** Reads a file of experiments/deployments, named without its ending. Throws with each mistake's place. */
+/** Reads experiments/deployments/NAME.toml. Throws an error that lists every mistake with its position. */
 export const readDeployment = (name: string): Deployment => {
 	const file = fileURLToPath(new URL(`../../experiments/deployments/${name}.toml`, import.meta.url));
-	const reading = readToml(readFileSync(file, 'utf8'), deploymentSchema);
-	if (reading.kind === 'mistakes') {
-		throw new Error(reading.mistakes.map(mistake => formatMistake(file, mistake)).join('\n'));
+	const result = readToml(readFileSync(file, 'utf8'), deploymentSchema);
+	if (result.kind === 'mistakes') {
+		throw new Error(result.mistakes.map(mistake => formatMistake(file, mistake)).join('\n'));
 	}
 
-	return reading.value;
+	return result.value;
 };
--- a/scripts/measure/src/routing/run-deployment.ts
+++ b/scripts/measure/src/routing/run-deployment.ts
@@ -1,5 +1,5 @@
-/** One run: a deployment, a policy, a load, with or without an availability zone reclaimed in the middle. */
-import {setImmediate as nextTurn} from 'node:timers/promises';
+/** Simulates one deployment with one routing policy and load, optionally with an availability zone reclaimed halfway. */
+import {setImmediate as waitForNextTurn} from 'node:timers/promises';
 import {type CacheEvent} from '@shallotpass/backends/engine-events.js';
 import {type ListedInstance} from '@shallotpass/common/instance-list.js';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
@@ -16,185 +16,186 @@
 export type RunPlan = {
 	readonly deployment: Deployment;
 	readonly load: number;
+	/** Whether the last availability zone is reclaimed halfway through the measured period. */
 	readonly isReclaimed: boolean;
 	readonly seed: number;
-	/** Whether daemons are told of the engines' caches. */
+	/** Whether daemons receive the engines' cache events. */
 	readonly hasCacheEvents: boolean;
-	/** What arrives before this is served and not counted: caches fill, speeds are learned. */
+	/** Requests that arrive earlier are served but not counted: caches fill and speed estimates converge. */
 	readonly warmUpMs: number;
 	readonly untilMs: number;
 };
 
 const lostEventShare = 0.1;
-const latestEventMs = 2000;
+const maxEventDelayMs = 2000;
 
-const reportEveryMs = 1000;
+const loadReportIntervalMs = 1000;
 
-/** Seconds of notice, as the users have them. */
+/** Time between the notice of a reclaim and the termination in the users' cloud. */
 const noticeMs = 5000;
 
-/** A leaving engine's streams move this long before it goes. */
-const moveMarginMs = 1500;
+/** A leaving engine's streams move to other engines this long before its termination. */
+const streamMoveMarginMs = 1500;
 
-/** After a reclaim the cloud gives replacements, with nothing cached, only so much later. */
-const replacedAfterMs = 40_000;
+/** Time after a reclaim until the cloud provides replacements; they start with empty caches. */
+const replacementDelayMs = 40_000;
 
-type World = {
+type Simulation = {
 	readonly plan: RunPlan;
 	readonly clock: ManualClock;
 	readonly engines: Map<string, HostedEngine>;
 	readonly daemons: readonly EntryDaemon[];
 	readonly instances: Map<string, ListedInstance>;
-	/** All engines that ever were. */
-	readonly everyEngine: HostedEngine[];
-	/** When each plain server is free again. */
+	/** All engines ever started, including terminated ones. */
+	readonly allEngines: HostedEngine[];
+	/** The time at which each plain server is free again. */
 	readonly plainFreeAt: Map<string, number>;
 	listVersion: number;
 	readonly random: () => number;
 };
 
-const publishList = (world: World): void => {
-	world.listVersion++;
-	for (const {registry} of world.daemons) {
-		registry.applyInstanceList({version: world.listVersion, instances: [...world.instances.values()]});
+const publishInstanceList = (simulation: Simulation): void => {
+	simulation.listVersion++;
+	for (const {registry} of simulation.daemons) {
+		registry.applyInstanceList({version: simulation.listVersion, instances: [...simulation.instances.values()]});
 	}
 };
 
-const addEngine = (world: World, placed: PlacedEngine): void => {
-	const engine = makeHostedEngine(placed, world.clock);
-	world.engines.set(placed.id, engine);
-	world.everyEngine.push(engine);
-	world.instances.set(placed.id, {
+const addEngine = (simulation: Simulation, placed: PlacedEngine): void => {
+	const engine = makeHostedEngine(placed, simulation.clock);
+	simulation.engines.set(placed.id, engine);
+	simulation.allEngines.push(engine);
+	simulation.instances.set(placed.id, {
 		id: placed.id, address: placed.id, role: 'backend', availabilityZone: placed.availabilityZone, machineClass: placed.machine.name, state: 'live', services: [chatService],
 	});
 };
 
-const addPlainServers = (world: World): void => {
-	const {plain, engine} = world.plan.deployment;
+const addPlainServers = (simulation: Simulation): void => {
+	const {plain, engine} = simulation.plan.deployment;
 	for (let index = 0; index < plain.servers; index++) {
 		const id = `${plain.service}-${index}`;
-		world.plainFreeAt.set(id, 0);
-		world.instances.set(id, {
+		simulation.plainFreeAt.set(id, 0);
+		simulation.instances.set(id, {
 			id, address: id, role: 'backend', availabilityZone: engine[index % engine.length]!.availabilityZone, machineClass: 'plain', state: 'live', services: [plain.service],
 		});
 	}
 };
 
-const runPlain = async (world: World, id: string): Promise<void> => {
-	const endsAt = Math.max(world.clock.now(), world.plainFreeAt.get(id)!) + world.plan.deployment.plain.callMs;
-	world.plainFreeAt.set(id, endsAt);
-	await world.clock.waitUntil(endsAt as never);
+const runPlain = async (simulation: Simulation, id: string): Promise<void> => {
+	const endsAt = Math.max(simulation.clock.now(), simulation.plainFreeAt.get(id)!) + simulation.plan.deployment.plain.callMs;
+	simulation.plainFreeAt.set(id, endsAt);
+	await simulation.clock.waitUntil(endsAt as never);
 };
 
-/** The whole of one availability zone is reclaimed at once, and comes back later with empty caches. */
-const reclaimZone = (world: World): void => {
-	const {clock, plan} = world;
+/** Reclaims one availability zone at once; its replacements join later with empty caches. */
+const reclaimZone = (simulation: Simulation): void => {
+	const {clock, plan} = simulation;
 	const zone = plan.deployment.engine.at(-1)!.availabilityZone;
-	const leaving = [...world.engines.values()].filter(engine => engine.availabilityZone === zone);
+	const leaving = [...simulation.engines.values()].filter(engine => engine.availabilityZone === zone);
 	const leavesAt = clock.now() + noticeMs;
 	for (const {id} of leaving) {
-		for (const {registry} of world.daemons) {
+		for (const {registry} of simulation.daemons) {
 			registry.applyLeavingNotice(id, leavesAt);
 		}
 	}
 
-	clock.schedule(leavesAt - moveMarginMs, () => {
+	clock.schedule(leavesAt - streamMoveMarginMs, () => {
 		for (const engine of leaving) {
 			engine.takeAway();
-			world.instances.delete(engine.id);
+			simulation.instances.delete(engine.id);
 		}
 
-		publishList(world);
+		publishInstanceList(simulation);
 	});
-	clock.schedule(leavesAt + replacedAfterMs, () => {
+	clock.schedule(leavesAt + replacementDelayMs, () => {
 		for (const {id, availabilityZone, machine} of leaving) {
-			addEngine(world, {id: `${id}-again`, availabilityZone, machine});
+			addEngine(simulation, {id: `${id}-again`, availabilityZone, machine});
 		}
 
-		publishList(world);
+		publishInstanceList(simulation);
 	});
 };
 
-/** Cache events reach the daemons late, and a part of them never. */
-const tellEvents = (world: World, id: string, events: readonly CacheEvent[]): void => {
-	const {clock, plan} = world;
+/** Delivers cache events to the daemons with a delay; a share of them is lost. */
+const deliverCacheEvents = (simulation: Simulation, id: string, events: readonly CacheEvent[]): void => {
+	const {clock, plan} = simulation;
 	if (!plan.hasCacheEvents) {
 		return;
 	}
 
-	for (const {registry} of world.daemons) {
-		const told = events.filter(() => world.random() >= lostEventShare);
-		clock.schedule(clock.now() + (world.random() * latestEventMs), () => {
-			registry.applyCacheEvents(id, told);
+	for (const {registry} of simulation.daemons) {
+		const delivered = events.filter(() => simulation.random() >= lostEventShare);
+		clock.schedule(clock.now() + (simulation.random() * maxEventDelayMs), () => {
+			registry.applyCacheEvents(id, delivered);
 		});
 	}
 };
 
-const reportLoads = (world: World): void => {
-	for (const {id, getReport, takeEvents} of world.engines.values()) {
-		if (!world.instances.has(id)) {
+const reportLoads = (simulation: Simulation): void => {
+	for (const {id, getReport, takeEvents} of simulation.engines.values()) {
+		if (!simulation.instances.has(id)) {
 			continue;
 		}
 
-		tellEvents(world, id, takeEvents());
+		deliverCacheEvents(simulation, id, takeEvents());
 
-		for (const {registry} of world.daemons) {
+		for (const {registry} of simulation.daemons) {
 			registry.applyLoadReport(id, getReport());
 		}
 	}
 
-	if (world.clock.now() < world.plan.untilMs) {
-		world.clock.schedule(world.clock.now() + reportEveryMs, () => {
-			reportLoads(world);
+	if (simulation.clock.now() < simulation.plan.untilMs) {
+		simulation.clock.schedule(simulation.clock.now() + loadReportIntervalMs, () => {
+			reportLoads(simulation);
 		});
 	}
 };
 
-const makeWorld = (plan: RunPlan, makePolicy: () => RoutingPolicy): World => {
+const makeSimulation = (plan: RunPlan, makePolicy: () => RoutingPolicy): Simulation => {
 	const clock = makeManualClock();
 	const random = makeRandom(plan.seed + 1);
 	const engines = new Map<string, HostedEngine>();
 	const daemons: EntryDaemon[] = [];
-	const world: World = {
-		plan, clock, engines, daemons, instances: new Map(), everyEngine: [], plainFreeAt: new Map(), listVersion: 0, random: makeRandom(plan.seed + 2),
+	const simulation: Simulation = {
+		plan, clock, engines, daemons, instances: new Map(), allEngines: [], plainFreeAt: new Map(), listVersion: 0, random: makeRandom(plan.seed + 2),
 	};
 	for (let index = 0; index < plan.deployment.daemons; index++) {
 		daemons.push(makeEntryDaemon({
-			index, deployment: plan.deployment, clock, random, policy: makePolicy(), findEngine: id => engines.get(id)!, runPlain: async id => runPlain(world, id),
+			index, deployment: plan.deployment, clock, random, policy: makePolicy(), findEngine: id => engines.get(id)!, runPlain: async id => runPlain(simulation, id),
 		}));
 	}
 
 	for (const placed of listEngines(plan.deployment)) {
-		addEngine(world, placed);
+		addEngine(simulation, placed);
 	}
 
-	addPlainServers(world);
-	publishList(world);
-	reportLoads(world);
-	return world;
+	addPlainServers(simulation);
+	publishInstanceList(simulation);
+	reportLoads(simulation);
+	return simulation;
 };
 
 export const runDeployment = async (plan: RunPlan, makePolicy: () => RoutingPolicy): Promise<RunSummary> => {
-	const world = makeWorld(plan, makePolicy);
-	const {clock, daemons} = world;
+	const simulation = makeSimulation(plan, makePolicy);
+	const {clock, daemons} = simulation;
 	const results: ChatResult[] = [];
 	const plainMs: number[] = [];
-	const open = new Set<string>();
+	const pendingIds = new Set<string>();
 	let plainRefused = 0;
 	const serve = async (arrival: Arrival, daemon: EntryDaemon): Promise<void> => {
-		open.add(arrival.id);
+		pendingIds.add(arrival.id);
 		if (arrival.kind === 'chat') {
 			results.push(await daemon.serve(arrival));
 		} else {
-			const took = await daemon.servePlain(arrival);
-			if (took === undefined) {
+			const durationMs = await daemon.servePlain(arrival);
+			if (durationMs === undefined) {
 				plainRefused++;
 			} else {
-				plainMs.push(took);
+				plainMs.push(durationMs);
 			}
 		}
 
-		open.delete(arrival.id);
+		pendingIds.delete(arrival.id);
 	};
 
 	const arrivals = makeRequests({
@@ -206,33 +207,33 @@
 		});
 	}
 
-	let readBefore = {promptTokens: 0, recomputedTokens: 0};
+	let warmUpTokens = {promptTokens: 0, recomputedTokens: 0};
 	const countTokens = () => ({
-		promptTokens: world.everyEngine.reduce((sum, engine) => sum + engine.counts.promptTokens, 0),
-		recomputedTokens: world.everyEngine.reduce((sum, engine) => sum + engine.counts.recomputedTokens, 0),
+		promptTokens: simulation.allEngines.reduce((sum, engine) => sum + engine.counts.promptTokens, 0),
+		recomputedTokens: simulation.allEngines.reduce((sum, engine) => sum + engine.counts.recomputedTokens, 0),
 	});
 	clock.schedule(plan.warmUpMs, () => {
-		readBefore = countTokens();
+		warmUpTokens = countTokens();
 	});
 	if (plan.isReclaimed) {
 		clock.schedule((plan.warmUpMs + plan.untilMs) / 2, () => {
-			reclaimZone(world);
+			reclaimZone(simulation);
 		});
 	}
 
-	while ((clock.now() < plan.untilMs || open.size > 0) && clock.advance()) {
-		await nextTurn(); // eslint-disable-line no-await-in-loop -- whoever waited for this moment goes on before the next
+	while ((clock.now() < plan.untilMs || pendingIds.size > 0) && clock.advance()) {
+		await waitForNextTurn(); // eslint-disable-line no-await-in-loop -- lets pending promises settle before time advances
 	}
 
-	const read = countTokens();
+	const totalTokens = countTokens();
 	return summarizeRun({
 		plan,
 		results,
 		plainMs,
 		plainRefused,
-		unanswered: open.size,
-		promptTokens: read.promptTokens - readBefore.promptTokens,
-		recomputedTokens: read.recomputedTokens - readBefore.recomputedTokens,
-		hasSeen: id => world.everyEngine.some(engine => engine.hasSeen(id)),
+		unanswered: pendingIds.size,
+		promptTokens: totalTokens.promptTokens - warmUpTokens.promptTokens,
+		recomputedTokens: totalTokens.recomputedTokens - warmUpTokens.recomputedTokens,
+		hasSeen: id => simulation.allEngines.some(engine => engine.hasSeen(id)),
 	});
 };
--- a/scripts/measure/src/routing/run-in-threads.ts
+++ b/scripts/measure/src/routing/run-in-threads.ts
@@ -1,4 +1,4 @@
-/** Spreads runs over threads; each run is deterministic by itself, so their order does not matter. */
+/** Distributes runs over worker threads. Each run is deterministic on its own, so their order does not matter. */
 import {fileURLToPath} from 'node:url';
 import {parentPort, workerData} from 'node:worker_threads';
 import {runInWorkers} from '../run-in-workers.js';
@@ -10,7 +10,7 @@
 
 const jobKind = 'routing_run';
 
-/** Runs all jobs; gives their summaries in the order of the jobs. */
+/** Runs all jobs and returns their summaries in the order of the jobs. */
 export const runInThreads = async (jobs: readonly ThreadJob[]): Promise<RunSummary[]> => runInWorkers({file: fileURLToPath(import.meta.url), kind: jobKind, jobs});
 
 const data = workerData as {readonly kind: string; readonly job: ThreadJob} | undefined;
--- a/scripts/measure/src/routing/summarize-run.ts
+++ b/scripts/measure/src/routing/summarize-run.ts
@@ -1,7 +1,7 @@
-/** What a run came to, in the users' measures. */
+/** Summarizes a run: cost, latency targets, refusals and fairness. */
 import {errorAnswers} from '@shallotpass/common/error-kinds.js';
 import {round} from '../latencies.js';
-import {listEngines, type Deployment, type ClassTarget} from './deployment.js';
+import {listEngines, type Deployment, type LatencyClass} from './deployment.js';
 import {type ChatResult} from './entry-daemon.js';
 import {type RunPlan} from './run-deployment.js';
 
@@ -14,16 +14,16 @@
 
 export type RunSummary = {
 	readonly creditsPerThousand: number;
-	/** Part of all chat requests whose whole answer kept its targets. */
+	/** Share of all chat requests whose complete answer met its latency targets. */
 	readonly withinTarget: number;
 	readonly classes: readonly ClassSummary[];
 	readonly recomputedShare: number;
 	readonly refused: number;
-	/** Refused as not run, and yet seen by an engine. */
+	/** Number of requests that were refused as not executed although an engine received them. */
 	readonly untrueRefusals: number;
 	readonly unanswered: number;
 	readonly attemptsPerRequest: number;
-	/** Jain's index of the work that accounts got over the work a max-min fair division gives them. */
+	/** Jain's fairness index of each account's served work relative to its max-min fair allocation. */
 	readonly fairness: number;
 	readonly plainP95Ms: number;
 	readonly plainRefused: number;
@@ -42,7 +42,7 @@
 
 const millisecondsPerHour = 3_600_000;
 
-export const isWithin = ({arrival, firstTokenAt, endedAt, tokens, refusedAs}: ChatResult, target: ClassTarget): boolean => {
+export const isWithin = ({arrival, firstTokenAt, endedAt, tokens, refusedAs}: ChatResult, target: LatencyClass): boolean => {
 	if (refusedAs !== undefined || firstTokenAt === undefined) {
 		return false;
 	}
@@ -53,37 +53,37 @@
 		&& endedAt - arrival.at <= target.wholeWithinMs;
 };
 
-type Demand = {readonly account: string; readonly share: number; readonly asked: number; readonly got: number};
+type Demand = {readonly account: string; readonly share: number; readonly asked: number; readonly served: number};
 
-/** Divides the total by shares so that nobody gets more than it asked for and what is left goes to the others. */
+/** Divides the total by weighted max-min fairness: no account gets more than it asked for, and the rest goes to the others by their shares. */
 export const divideFairly = (demands: ReadonlyArray<Pick<Demand, 'account' | 'share' | 'asked'>>, total: number): ReadonlyMap<string, number> => {
-	const parts = new Map<string, number>();
-	let open = [...demands];
-	let left = total;
-	while (open.length > 0) {
-		const shares = open.reduce((sum, demand) => sum + demand.share, 0);
-		const level = left / shares;
-		const content = open.filter(demand => demand.asked <= level * demand.share);
-		if (content.length === 0) {
-			for (const {account, share} of open) {
-				parts.set(account, level * share);
+	const allocations = new Map<string, number>();
+	let unsatisfied = [...demands];
+	let remaining = total;
+	while (unsatisfied.length > 0) {
+		const shares = unsatisfied.reduce((sum, demand) => sum + demand.share, 0);
+		const tokensPerShare = remaining / shares;
+		const satisfied = unsatisfied.filter(demand => demand.asked <= tokensPerShare * demand.share);
+		if (satisfied.length === 0) {
+			for (const {account, share} of unsatisfied) {
+				allocations.set(account, tokensPerShare * share);
 			}
 
-			return parts;
+			return allocations;
 		}
 
-		for (const {account, asked} of content) {
-			parts.set(account, asked);
-			left -= asked;
+		for (const {account, asked} of satisfied) {
+			allocations.set(account, asked);
+			remaining -= asked;
 		}
 
-		open = open.filter(demand => !content.includes(demand));
+		unsatisfied = unsatisfied.filter(demand => !satisfied.includes(demand));
 	}
 
-	return parts;
+	return allocations;
 };
 
-/** Jain, Chiu, Hawe 1984: 1 when all are treated alike, 1/n when one gets everything. */
+/** Computes Jain's fairness index (Jain, Chiu, Hawe 1984): 1 if all values are equal, 1/n if one account gets everything. */
 export const computeJain = (values: readonly number[]): number => {
 	const sum = values.reduce((total, value) => total + value, 0);
 	const squares = values.reduce((total, value) => total + (value ** 2), 0);
@@ -94,62 +94,62 @@
 
 const computeFairness = (deployment: Deployment, results: readonly ChatResult[]): number => {
 	const demands = deployment.account.map(({name, share}): Demand => {
-		const own = results.filter(result => result.arrival.account === name);
+		const accountResults = results.filter(result => result.arrival.account === name);
 		return {
 			account: name,
 			share,
-			asked: own.reduce((sum, result) => sum + getWork(result), 0),
-			got: own.filter(result => result.refusedAs === undefined).reduce((sum, result) => sum + getWork(result), 0),
+			asked: accountResults.reduce((sum, result) => sum + getWork(result), 0),
+			served: accountResults.filter(result => result.refusedAs === undefined).reduce((sum, result) => sum + getWork(result), 0),
 		};
 	});
-	const fair = divideFairly(demands, demands.reduce((sum, demand) => sum + demand.got, 0));
-	return computeJain(demands.map(({account, got}) => got / Math.max(1, fair.get(account)!)));
+	const fair = divideFairly(demands, demands.reduce((sum, demand) => sum + demand.served, 0));
+	return computeJain(demands.map(({account, served}) => served / Math.max(1, fair.get(account)!)));
 };
 
-const isToldNotRun = ({refusedAs}: ChatResult): boolean => refusedAs !== undefined && errorAnswers[refusedAs].executed === 'no';
+const isReportedNotExecuted = ({refusedAs}: ChatResult): boolean => refusedAs !== undefined && errorAnswers[refusedAs].executed === 'no';
 
 const getP95 = (values: readonly number[]): number => values.toSorted((left, right) => left - right)[Math.floor(values.length * 0.95)] ?? 0;
 
-const countCredits = ({deployment, warmUpMs, untilMs, isReclaimed}: RunPlan, replacedAfterMs: number): number => {
+const countCredits = ({deployment, warmUpMs, untilMs, isReclaimed}: RunPlan, unpaidMs: number): number => {
 	const engines = listEngines(deployment);
 	const zone = deployment.engine.at(-1)!.availabilityZone;
 	const hours = (untilMs - warmUpMs) / millisecondsPerHour;
 	let credits = 0;
 	for (const engine of engines) {
-		const missing = isReclaimed && engine.availabilityZone === zone ? replacedAfterMs / millisecondsPerHour : 0;
-		credits += engine.machine.price * (hours - missing);
+		const unpaidHours = isReclaimed && engine.availabilityZone === zone ? unpaidMs / millisecondsPerHour : 0;
+		credits += engine.machine.price * (hours - unpaidHours);
 	}
 
 	return credits;
 };
 
-/** Reclaimed engines are not paid for while they are away. */
-const awayMs = 41_500;
+/** Time from the termination of reclaimed engines to their replacement, for which nothing is paid: `streamMoveMarginMs` + `replacementDelayMs` of run-deployment.ts. */
+const replacementGapMs = 41_500;
 
 export const summarizeRun = ({plan, results, plainMs, plainRefused, unanswered, promptTokens, recomputedTokens, hasSeen}: RunRecord): RunSummary => {
 	const {deployment, warmUpMs} = plan;
-	const counted = results.filter(result => result.arrival.at >= warmUpMs);
+	const measured = results.filter(result => result.arrival.at >= warmUpMs);
 	const classes = deployment.class.map((target): ClassSummary => {
-		const own = counted.filter(result => result.arrival.class === target.name);
+		const classResults = measured.filter(result => result.arrival.class === target.name);
 		return {
 			class: target.name,
-			asked: own.length,
-			withinTarget: round(own.filter(result => isWithin(result, target)).length / Math.max(1, own.length), 4),
-			refused: own.filter(result => result.refusedAs !== undefined).length,
+			asked: classResults.length,
+			withinTarget: round(classResults.filter(result => isWithin(result, target)).length / Math.max(1, classResults.length), 4),
+			refused: classResults.filter(result => result.refusedAs !== undefined).length,
 		};
 	});
-	const within = counted.filter(result => isWithin(result, deployment.class.find(item => item.name === result.arrival.class)!)).length;
-	const refused = counted.filter(result => result.refusedAs !== undefined);
+	const withinTargetCount = measured.filter(result => isWithin(result, deployment.class.find(item => item.name === result.arrival.class)!)).length;
+	const refused = measured.filter(result => result.refusedAs !== undefined);
 	return {
-		creditsPerThousand: round(countCredits(plan, awayMs) / Math.max(1, within) * 1000, 4),
-		withinTarget: round(within / Math.max(1, counted.length), 4),
+		creditsPerThousand: round(countCredits(plan, replacementGapMs) / Math.max(1, withinTargetCount) * 1000, 4),
+		withinTarget: round(withinTargetCount / Math.max(1, measured.length), 4),
 		classes,
 		recomputedShare: round(recomputedTokens / Math.max(1, promptTokens), 4),
 		refused: refused.length,
-		untrueRefusals: refused.filter(result => isToldNotRun(result) && hasSeen(result.arrival.id)).length,
+		untrueRefusals: refused.filter(result => isReportedNotExecuted(result) && hasSeen(result.arrival.id)).length,
 		unanswered,
-		attemptsPerRequest: round(counted.reduce((sum, result) => sum + result.attempts, 0) / Math.max(1, counted.length - refused.filter(result => result.attempts === 0).length), 4),
-		fairness: round(computeFairness(deployment, counted), 4),
+		attemptsPerRequest: round(measured.reduce((sum, result) => sum + result.attempts, 0) / Math.max(1, measured.length - refused.filter(result => result.attempts === 0).length), 4),
+		fairness: round(computeFairness(deployment, measured), 4),
 		plainP95Ms: round(getP95(plainMs), 2),
 		plainRefused,
 	};
