--- a/scripts/measure/src/caller-client.ts
+++ b/scripts/measure/src/caller-client.ts
@@ -1,4 +1,4 @@
-/** A caller of the stand-ins: streams that check their own marker, and reservations. */
+/** Client for tests and experiments: sends chat streams and reservations to a daemon or stand-in and verifies the streamed tokens. */
 import {createParser} from 'eventsource-parser';
 import {type Dispatcher, request} from 'undici';
 import {callerKey} from './local-fleet.js';
@@ -9,15 +9,15 @@
 	readonly tokens: number;
 	readonly chunks: number;
 	readonly isWhole: boolean;
-	/** Problem that ended the stream or refused it. */
+	/** The error that refused the request or ended the stream. */
 	readonly problem: {readonly kind: string; readonly executed: string} | undefined;
 	readonly firstTokenMs: number | undefined;
 	readonly endMs: number;
-	/** Token texts that are not this stream's own, or out of order. */
+	/** Number of tokens that belong to another stream or are out of order. */
 	readonly strayTokens: number;
 };
 
-type AskOptions = {
+type StreamOptions = {
 	readonly address: string;
 	readonly marker: string;
 	readonly tokens: number;
@@ -30,8 +30,8 @@
 
 type Chunk = {readonly choices?: ReadonlyArray<{readonly delta?: {readonly content?: string}}>};
 
-/** Asks a streamed question and checks that each token is this stream's next one. */
-export const askStream = async (options: AskOptions): Promise<StreamResult> => {
+/** Sends a streamed chat request and checks that each token is the next one expected. The stand-in engine prefixes its tokens with the marker. */
+export const askStream = async (options: StreamOptions): Promise<StreamResult> => {
 	const {address, marker, tokens: maxTokens, prompt = '', headers = {}, dispatcher, signal} = options;
 	const startedAt = performance.now();
 	const response = await request(`http://${address}/v1/chat/completions`, {
@@ -60,7 +60,7 @@
 	let isWhole = false;
 	let problem: StreamResult['problem'];
 	let firstTokenMs: number | undefined;
-	const takeToken = (content: string): void => {
+	const handleToken = (content: string): void => {
 		firstTokenMs ??= performance.now() - startedAt;
 		strayTokens += content === `${marker}:${tokens} ` ? 0 : 1;
 		options.onToken?.(tokens);
@@ -83,7 +83,7 @@
 			chunks++;
 			const content = (JSON.parse(data) as Chunk).choices?.[0]?.delta?.content;
 			if (content !== undefined && content !== '') {
-				takeToken(content);
+				handleToken(content);
 			}
 		},
 	});
@@ -114,7 +114,7 @@
 	readonly signal?: AbortSignal;
 };
 
-/** Sends a reservation. */
+/** Sends a reservation; `key` is its idempotency key. */
 export const reserve = async ({address, key, body, path = '/services/reservations/reserve', headers = {}, dispatcher, signal}: ReserveOptions): Promise<CallResult> => {
 	const response = await request(`http://${address}${path}`, {
 		method: 'POST',
--- a/scripts/measure/src/claims-experiment.ts
+++ b/scripts/measure/src/claims-experiment.ts
@@ -1,4 +1,4 @@
-/** Calls that must not repeat, each sent twice through different daemons, with faults: rate, latency and executions. */
+/** Measures throughput, latency and executions of calls that must run at most once, without faults and then with faults and duplicate requests. */
 import {Agent} from 'undici';
 import {z} from 'zod';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
@@ -22,11 +22,11 @@
 	windowsMs: z.array(z.int().nonnegative()),
 	calls: z.int().positive(),
 	concurrency: z.int().positive(),
-	/** Calls with faults, after the comparison. */
+	/** Number of calls in the run with faults that follows the comparison. */
 	faultyCalls: z.int().nonnegative(),
-	/** Share of log requests that are struck. */
+	/** Probability of injecting a log fault before each call; appends and reads are drawn separately. */
 	logFaults: z.number().min(0).max(1),
-	/** Share of calls at the backend server that are struck. */
+	/** Probability of injecting a fault of the backend server before each call. */
 	serviceFaults: z.number().min(0).max(1),
 });
 
@@ -38,7 +38,7 @@
 	readonly close: () => Promise<void>;
 };
 
-/** Each daemon, and the platform with the service, in a thread of its own. */
+/** Starts each daemon, and the platform with the service, in its own thread. */
 const startFleet = async (count: number, claimWindowMs: number): Promise<Fleet> => {
 	const platform = await startWorker({kind: 'platform'});
 	const daemons: HostedWorker[] = [];
@@ -51,15 +51,15 @@
 			seeds: daemons.slice(0, 1).map(other => other.peers!),
 			limits: {claimWindowMs},
 		});
-		daemons.push(await startWorker({kind: 'daemon', settings, configurationText: undefined})); // eslint-disable-line no-await-in-loop -- each seeds the next
+		daemons.push(await startWorker({kind: 'daemon', settings, configurationText: undefined})); // eslint-disable-line no-await-in-loop -- each daemon is a seed of the next
 	}
 
-	await waitFor('the daemons know each other', async () => {
+	await waitFor('all daemons know each other', async () => {
 		const counts = await Promise.all(daemons.map(async daemon => countMembers(daemon.admin!)));
 		return counts.every(known => known === count);
 	});
 	await applyThrough({admin: daemons[0]!.admin!}, makeConfigurationText());
-	await waitFor('reservations are served', async () => {
+	await waitFor('all daemons serve reservations', async () => {
 		const results = await Promise.all(daemons.map(async (daemon, index) => reserve({address: daemon.address, key: `ready-${index}-${Math.random()}`, body: '{}'})));
 		return results.every(result => result.status === 200);
 	});
@@ -105,6 +105,7 @@
 	readonly calls: number;
 	readonly concurrency: number;
 	readonly label: string;
+	/** Number of concurrent requests with the same idempotency key. */
 	readonly copies: number;
 	readonly random: () => number;
 	readonly beforeCall?: () => void;
@@ -115,7 +116,7 @@
 	const tally: Tally = {
 		answered: 0, replayed: 0, refusedNotRun: 0, unknown: 0, other: 0, falselyNotRun: 0,
 	};
-	// Callers, daemons and services share one process and its limit of open files, often 1,024; where latency is not of interest, fewer connections do.
+	// Callers, daemons and services share the process's limit of open files, often 1,024. Use fewer connections when latency is not measured.
 	const connections = copies > 1 ? Math.ceil(concurrency * copies / fleet.daemons.length) : concurrency;
 	const dispatcher = new Agent({connections, pipelining: 1});
 	const appendsBefore = await countAppends(fleet);
@@ -126,31 +127,31 @@
 	const callOnce = async (name: string): Promise<void> => {
 		beforeCall?.();
 		const daemon = fleet.daemons[Math.floor(random() * fleet.daemons.length)]!;
-		const calledAt = performance.now();
+		const callStartedAt = performance.now();
 		const result = await reserve({
 			address: daemon.address, key: name, body: JSON.stringify({name}), dispatcher,
 		});
-		latencies.record(performance.now() - calledAt);
+		latencies.record(performance.now() - callStartedAt);
 		countOutcome(tally, result);
 		if (result.body.executed === 'no') {
 			refusedKeys.set(name, (refusedKeys.get(name) ?? 0) + 1);
 		}
 	};
 
-	const work = async (): Promise<void> => {
+	const runCaller = async (): Promise<void> => {
 		while (next < calls) {
 			const name = `${label}-${next}`;
 			next += copies;
-			await Promise.all(Array.from({length: copies}, async () => callOnce(name))); // eslint-disable-line no-await-in-loop -- a caller waits for its answers
+			await Promise.all(Array.from({length: copies}, async () => callOnce(name))); // eslint-disable-line no-await-in-loop -- a caller waits for its responses
 		}
 	};
 
-	await Promise.all(Array.from({length: concurrency}, async () => work()));
+	await Promise.all(Array.from({length: concurrency}, async () => runCaller()));
 	const milliseconds = performance.now() - startedAt;
 	const appends = await countAppends(fleet) - appendsBefore;
 	const counts = await countExecutions(fleet);
 	for (const [name, refusals] of refusedKeys) {
-		// Every copy of the call was told that it was not run, and yet it was.
+		// Every copy of the call was reported as not executed, but the service executed it.
 		tally.falselyNotRun += refusals === copies && counts.has(JSON.stringify({name})) ? 1 : 0;
 	}
 
@@ -164,14 +165,14 @@
 	};
 };
 
-/** The same service called without claims: what a claim adds is the difference. */
-const measureRepeatable = async (fleet: Fleet, options: Options) => {
+/** Measures calls to a repeatable service, which need no claim, as the baseline for the added latency. */
+const measureRepeatableService = async (fleet: Fleet, options: Options) => {
 	const latencies = makeLatencies();
 	const dispatcher = new Agent({connections: options.concurrency, pipelining: 1});
 	await Promise.all(Array.from({length: options.concurrency}, async (_value, index) => {
 		for (let count = 0; count < options.calls / options.concurrency; count++) {
 			const startedAt = performance.now();
-			// eslint-disable-next-line no-await-in-loop -- a caller waits for its answer
+			// eslint-disable-next-line no-await-in-loop -- a caller waits for its response
 			await reserve({
 				address: fleet.daemons[index % fleet.daemons.length]!.address, key: undefined, body: '{}', path: '/services/catalogue/x', dispatcher,
 			});
@@ -185,12 +186,12 @@
 const measureWindow = async (options: Options, windowMs: number) => {
 	const fleet = await startFleet(options.daemons, windowMs);
 	try {
-		const shared = {
+		const commonOptions = {
 			fleet, concurrency: options.concurrency, random: makeRandom(options.seed), copies: 1,
 		};
-		await runLoad({...shared, calls: options.calls / 4, label: 'warm'});
-		const repeatable = await measureRepeatable(fleet, options);
-		const claimed = await runLoad({...shared, calls: options.calls, label: 'w'});
+		await runLoad({...commonOptions, calls: options.calls / 4, label: 'warm'});
+		const repeatable = await measureRepeatableService(fleet, options);
+		const claimed = await runLoad({...commonOptions, calls: options.calls, label: 'w'});
 		return {
 			windowMs, ...claimed, repeatableMs: repeatable, addedP95Ms: round(claimed.latencyMs.p95 - repeatable.p95),
 		};
@@ -202,7 +203,7 @@
 const runFaults = async (options: Options) => {
 	const fleet = await startFleet(options.daemons, 5);
 	const random = makeRandom(options.seed);
-	const strike = (): void => {
+	const injectFaults = (): void => {
 		if (random() < options.logFaults) {
 			void fleet.platform.control({kind: 'fault', target: 'log', fault: {on: 'append', kind: random() < 0.5 ? 'lose_reply' : 'refuse', times: 1}});
 		}
@@ -218,7 +219,7 @@
 
 	try {
 		const result = await runLoad({
-			fleet, calls: options.faultyCalls, concurrency: options.concurrency, label: 'f', copies: 2, random, beforeCall: strike,
+			fleet, calls: options.faultyCalls, concurrency: options.concurrency, label: 'f', copies: 2, random, beforeCall: injectFaults,
 		});
 		const counts = [...await countExecutions(fleet)].filter(([body]) => body !== '{}');
 		return {...result, keys: counts.length, executionsMoreThanOnce: counts.filter(([, count]) => count > 1).length};
@@ -227,12 +228,12 @@
 	}
 };
 
-const run = async (options: Options, tell: (line: string) => void): Promise<Report> => {
+const run = async (options: Options, printLine: (line: string) => void): Promise<Report> => {
 	const windows = [];
 	for (const windowMs of options.windowsMs) {
-		const result = await measureWindow(options, windowMs); // eslint-disable-line no-await-in-loop -- one after the other
+		const result = await measureWindow(options, windowMs); // eslint-disable-line no-await-in-loop -- windows are measured sequentially
 		windows.push(result);
-		tell(`window ${windowMs} ms: ${result.callsPerSecond} calls/s, ${result.appendsPerSecond} appends/s, p95 ${result.latencyMs.p95} ms, added ${result.addedP95Ms} ms`);
+		printLine(`window ${windowMs} ms: ${result.callsPerSecond} calls/s, ${result.appendsPerSecond} appends/s, p95 ${result.latencyMs.p95} ms, added ${result.addedP95Ms} ms`);
 	}
 
 	const faulty = options.faultyCalls === 0 ? undefined : await runFaults(options);
--- a/scripts/measure/src/demo.ts
+++ b/scripts/measure/src/demo.ts
@@ -1,4 +1,4 @@
-/** The whole path on stand-ins, told step by step. */
+/** Demonstrates a request's path through two daemons and the stand-ins, printing each step. */
 import process from 'node:process';
 import {startEngineStandIn} from '@shallotpass/stand-ins/engine-stand-in.js';
 import {startPlainServiceStandIn} from '@shallotpass/stand-ins/plain-service-stand-in.js';
@@ -9,14 +9,14 @@
 
 let step = 0;
 
-const tell = (line: string): void => {
+const printStep = (line: string): void => {
 	step++;
 	process.stdout.write(`${step}. ${line}\n`);
 };
 
-const check = (isTrue: boolean, what: string): void => {
+const assertThat = (isTrue: boolean, expectation: string): void => {
 	if (!isTrue) {
-		throw new Error(`not as it should be: ${what}`);
+		throw new Error(`demo failed: expected that ${expectation}`);
 	}
 };
 
@@ -25,29 +25,29 @@
 	const fast = await startEngineStandIn({models: ['assistant-7b'], parameters: {stepMs: 4}});
 	const slow = await startEngineStandIn({models: ['assistant-7b'], parameters: {stepMs: 12}});
 	const reservations = await startPlainServiceStandIn({id: 'reservations-1'});
-	const place = {role: 'backend', state: 'live'} as const;
+	const listing = {role: 'backend', state: 'live'} as const;
 	platform.list.put({
-		...place, id: 'engine-fast', address: fast.address, availabilityZone: 'zone-1', services: ['assistant'],
+		...listing, id: 'engine-fast', address: fast.address, availabilityZone: 'zone-1', services: ['assistant'],
 	});
 	platform.list.put({
-		...place, id: 'engine-slow', address: slow.address, availabilityZone: 'zone-2', services: ['assistant'],
+		...listing, id: 'engine-slow', address: slow.address, availabilityZone: 'zone-2', services: ['assistant'],
 	});
 	platform.list.put({
-		...place, id: 'reservations-1', address: reservations.address, availabilityZone: 'zone-1', services: ['reservations'],
+		...listing, id: 'reservations-1', address: reservations.address, availabilityZone: 'zone-1', services: ['reservations'],
 	});
-	tell('The platform stands: a log, an instance list, two model engines of different speed, a reservation service.');
+	printStep('The platform is running: a log, an instance list, two model engines of different speed and a reservation service.');
 
 	const first = await startMember({id: 'entry-1', availabilityZone: 'zone-1', platform});
 	const second = await startMember({
 		id: 'entry-2', availabilityZone: 'zone-2', platform, seeds: [first.peers],
 	});
 	await waitFor('both daemons know each other', () => first.listMembers().length === 2 && second.listMembers().length === 2);
-	tell('Two daemons run, one in each availability zone, and have found each other.');
+	printStep('Two daemons are running, one in each availability zone, and have discovered each other.');
 
 	const applied = await applyThrough(first, makeConfigurationText());
-	check(applied.status === 202, `apply answered ${applied.status}`);
+	assertThat(applied.status === 202, `the configuration is accepted with status 202, got ${applied.status}`);
 	await waitFor('the configuration is in force', () => first.getVersion('default') === applied.body.version && second.getVersion('default') === applied.body.version);
-	tell(`A configuration was applied through entry-1; version ${applied.body.version} is in force on both daemons.`);
+	printStep(`A configuration was applied through entry-1; version ${applied.body.version} is in force on both daemons.`);
 
 	await waitFor('backend servers are known', async () => {
 		const warmUp = await reserve({
@@ -60,23 +60,23 @@
 	});
 	const before = reservations.executions.length;
 	const answer = await askStream({address: second.callers, marker: 'series', tokens: 12});
-	check(answer.isWhole && answer.strayTokens === 0, 'the streamed answer is whole');
-	tell(`A question to entry-2 was streamed back in ${answer.tokens} tokens, the first after ${answer.firstTokenMs?.toFixed(0)} ms: "${answer.text.trim()}".`);
+	assertThat(answer.isWhole && answer.strayTokens === 0, 'the streamed answer is complete');
+	printStep(`A chat request to entry-2 was answered with a stream of ${answer.tokens} tokens, the first one after ${answer.firstTokenMs?.toFixed(0)} ms: "${answer.text.trim()}".`);
 
 	const body = '{"issue": "Dune 12", "copies": 1}';
 	const once = await reserve({address: first.callers, key: 'order-1', body});
 	const again = await reserve({address: second.callers, key: 'order-1', body});
-	check(once.status === 200 && again.status === 200 && again.isReplayed, 'both reservations were answered');
-	check(reservations.executions.length - before === 1, 'the reservation ran once');
-	tell(`A reservation was sent to entry-1 and again, with the same key, to entry-2. It ran ${reservations.executions.length - before} time; both got the answer ${JSON.stringify(again.body)}.`);
+	assertThat(once.status === 200 && again.status === 200 && again.isReplayed, 'both reservations are answered');
+	assertThat(reservations.executions.length - before === 1, 'the reservation is executed once');
+	printStep(`A reservation was sent to entry-1 and, with the same idempotency key, to entry-2. Number of executions: ${reservations.executions.length - before}. Both requests got the response ${JSON.stringify(again.body)}.`);
 
 	const changed = await reserve({address: second.callers, key: 'order-1', body: '{"issue": "Dune 13"}'});
-	check(changed.status === 422, 'a changed body is refused');
-	tell(`The same key with a different body was refused: ${String(changed.body.kind)}, executed: ${String(changed.body.executed)}.`);
+	assertThat(changed.status === 422, 'a different body is refused');
+	printStep(`A request with the same key and a different body was refused: ${String(changed.body.kind)}, executed: ${String(changed.body.executed)}.`);
 
 	await Promise.all([first.drain(), second.drain()]);
 	await Promise.all([fast.close(), slow.close(), reservations.close(), platform.close()]);
-	tell('Both daemons have drained; nothing was cut off.');
+	printStep('Both daemons have drained; no request was interrupted.');
 };
 
 await run();
--- a/scripts/measure/src/fit-line.ts
+++ b/scripts/measure/src/fit-line.ts
@@ -1,12 +1,12 @@
-/** Least squares through measured points. */
+/** Fits a line to measured points by least squares. */
 
 export type Point = {readonly x: number; readonly y: number};
 
 export type Line = {
-	/** Growth of y for each unit of x. */
+	/** Increase of y per unit of x. */
 	readonly slope: number;
 	readonly intercept: number;
-	/** Share of the spread that the line explains; 1 is a perfect line. */
+	/** Coefficient of determination: the share of the variance that the line explains; 1 is a perfect fit. */
 	readonly r2: number;
 };
 
@@ -23,13 +23,13 @@
 	const count = points.length;
 	const meanX = sum(points.map(point => point.x)) / count;
 	const meanY = sum(points.map(point => point.y)) / count;
-	const spreadX = sum(points.map(point => (point.x - meanX) ** 2));
-	const spreadY = sum(points.map(point => (point.y - meanY) ** 2));
-	const shared = sum(points.map(point => (point.x - meanX) * (point.y - meanY)));
-	const slope = shared / spreadX;
+	const sumOfSquaresX = sum(points.map(point => (point.x - meanX) ** 2));
+	const sumOfSquaresY = sum(points.map(point => (point.y - meanY) ** 2));
+	const sumOfProducts = sum(points.map(point => (point.x - meanX) * (point.y - meanY)));
+	const slope = sumOfProducts / sumOfSquaresX;
 	return {
 		slope,
 		intercept: meanY - (slope * meanX),
-		r2: spreadY === 0 ? 1 : (shared ** 2) / (spreadX * spreadY),
+		r2: sumOfSquaresY === 0 ? 1 : (sumOfProducts ** 2) / (sumOfSquaresX * sumOfSquaresY),
 	};
 };
--- a/scripts/measure/src/fleet-experiment.ts
+++ b/scripts/measure/src/fleet-experiment.ts
@@ -1,4 +1,4 @@
-/** What a day of demand costs with ways of sizing the fleet, on the same requests and the same reclaims. */
+/** Compares the cost of a day of demand under different fleet sizing policies, with the same requests and reclaims. */
 import {z} from 'zod';
 import {runDays} from './fleet/day-thread.js';
 import {fleetPolicies} from './fleet/fleet-policies.js';
@@ -19,38 +19,38 @@
 
 const describe = (name: string, days: readonly DaySummary[]): string => [
 	name,
-	...days.map(day => `  ${day.policy.padEnd(18)} credits ${day.credits}, per 1000 within target ${day.creditsPerThousand}, within ${day.withinTarget} (${day.classes.map(item => `${item.class} ${item.withinTarget}`).join(', ')}), asked ${day.asked}, refused ${day.refused}, instances ${day.instances}, never used ${day.neverUsed}, start calls ${day.startCalls}`),
+	...days.map(day => `  ${day.policy.padEnd(18)} credits ${day.credits}, per 1000 within target ${day.creditsPerThousand}, within ${day.withinTarget} (${day.classes.map(item => `${item.class} ${item.withinTarget}`).join(', ')}), requests ${day.asked}, refused ${day.refused}, instances ${day.instances}, never used ${day.neverUsed}, start calls ${day.startCalls}`),
 ].join('\n');
 
-/** The part of a class's answers that its latency target asks for. */
-const shareAsked = 0.95;
+/** Share of a class's answers that must meet its latency target. */
+const requiredShare = 0.95;
 
-const keepsTargets = (day: DaySummary): boolean => day.classes.every(item => item.withinTarget >= shareAsked);
+const meetsTargets = (day: DaySummary): boolean => day.classes.every(item => item.withinTarget >= requiredShare);
 
-/** The own way's price of a thousand answers over that of the cheapest baseline among those given. */
-const compare = (own: DaySummary, baselines: readonly DaySummary[]): number | undefined =>
+/** Returns the cost per thousand answers of our policy relative to the cheapest of the baselines; undefined if there is none. */
+const computeCostRatio = (own: DaySummary, baselines: readonly DaySummary[]): number | undefined =>
 	baselines.length === 0 ? undefined : round(own.creditsPerThousand / Math.min(...baselines.map(day => day.creditsPerThousand)), 3);
 
 const isBaseline = (day: DaySummary): boolean => fleetPolicies.find(policy => policy.name === day.policy)!.isBaseline;
 
-const run = async (options: Options, tell: (line: string) => void): Promise<Report> => {
+const run = async (options: Options, printLine: (line: string) => void): Promise<Report> => {
 	const plans = options.day.flatMap(({deployment, shape}) => fleetPolicies.map(({name}): DayPlan => ({
 		deployment: readDeployment(deployment), policy: name, seed: options.seed, peakLoad: options.peakLoad, shape, waves: options.waves,
 	})));
 	const summaries = await runDays(plans);
 	const ratios = options.day.map(({deployment}, index) => {
 		const days = summaries.slice(index * fleetPolicies.length, (index + 1) * fleetPolicies.length);
-		tell(describe(deployment, days));
+		printLine(describe(deployment, days));
 		const own = days.find(day => !isBaseline(day))!;
 		const baselines = days.filter(day => isBaseline(day));
 		return {
 			deployment,
-			keepsTargets: keepsTargets(own),
+			keepsTargets: meetsTargets(own),
 			withinTarget: own.withinTarget,
 			neverUsed: own.neverUsed,
-			creditsToKeepingTargets: compare(own, baselines.filter(day => keepsTargets(day))),
-			creditsToEqualShare: compare(own, baselines.filter(day => day.withinTarget >= own.withinTarget)),
-			creditsToCheapest: compare(own, baselines),
+			creditsToKeepingTargets: computeCostRatio(own, baselines.filter(day => meetsTargets(day))),
+			creditsToEqualShare: computeCostRatio(own, baselines.filter(day => day.withinTarget >= own.withinTarget)),
+			creditsToCheapest: computeCostRatio(own, baselines),
 		};
 	});
 	return {
--- a/scripts/measure/src/history-experiment.ts
+++ b/scripts/measure/src/history-experiment.ts
@@ -1,4 +1,4 @@
-/** A storm of everything that fails, at any moment and two at once, under load; the recorded history is checked against the promises. */
+/** Runs random chaos actions under load, several at once, and checks the recorded history against the service's guarantees. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {z} from 'zod';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
@@ -21,70 +21,70 @@
 	reservers: z.int().positive(),
 	tokens: z.int().positive(),
 	stepMs: z.number().positive(),
-	/** Actions that go on at once. */
+	/** Number of concurrent sequences of actions. */
 	lanes: z.int().positive(),
-	/** Actions of one lane, one after the other. */
+	/** Number of actions of each lane, run sequentially. */
 	actions: z.int().positive(),
-	/** Names of actions that this storm does without. */
+	/** Names of actions to leave out. */
 	leaveOut: z.array(z.string()).default([]),
 });
 
-export type StormOptions = z.output<typeof schema>;
+export type ChaosOptions = z.output<typeof schema>;
 
-const restMs = 100;
+const maxPauseMs = 100;
 
-const runLane = async (world: ChaosCluster, {actions, leaveOut}: StormOptions, tell: (line: string) => void): Promise<void> => {
-	const possible = chaosActions.filter(action => !leaveOut.includes(action.name));
+const runLane = async (cluster: ChaosCluster, {actions, leaveOut}: ChaosOptions, printLine: (line: string) => void): Promise<void> => {
+	const candidates = chaosActions.filter(action => !leaveOut.includes(action.name));
 	for (let index = 0; index < actions; index++) {
-		const action = pickRandom(possible, world.random);
-		tell(action.name);
-		/* eslint-disable no-await-in-loop -- one after the other */
-		await action.perform(world);
-		await sleep(world.random() * restMs);
+		const action = pickRandom(candidates, cluster.random);
+		printLine(action.name);
+		/* eslint-disable no-await-in-loop -- actions of a lane are sequential */
+		await action.perform(cluster);
+		await sleep(cluster.random() * maxPauseMs);
 		/* eslint-enable no-await-in-loop */
 	}
 };
 
-const noteFinalVersions = async ({history, daemons}: ChaosCluster): Promise<void> => {
+const recordFinalVersions = async ({history, daemons}: ChaosCluster): Promise<void> => {
 	const newest = Math.max(...history.accepted.map(entry => entry.version));
 	try {
 		await waitFor('the newest configuration is in force', () => daemons.every(daemon => daemon.getVersion('default') >= newest));
 	} catch {
-		// The check of the history says where it is not.
+		// The history check reports the daemons that have an older version.
 	}
 
 	history.finalVersions.push(...daemons.map(daemon => ({daemon: getDaemonId(daemon), version: daemon.getVersion('default'), at: Date.now()})));
 };
 
-/** Runs the storm and gives its history. */
-export const runStorm = async (options: StormOptions, tell: (line: string) => void): Promise<History> => {
+/** Runs the actions and callers of a chaos run and returns its history. */
+export const runStorm = async (options: ChaosOptions, printLine: (line: string) => void): Promise<History> => {
 	const random = makeRandom(options.seed);
-	const world = await startChaosCluster({...options, random});
+	const cluster = await startChaosCluster({...options, random});
 	try {
-		const load = Promise.all([
-			...Array.from({length: options.streams}, async (_value, index) => runStreamCaller(world, index, options.tokens)),
-			...Array.from({length: options.reservers}, async (_value, index) => runReservationCaller(world, index)),
-			recordVersions(world),
+		const callers = Promise.all([
+			...Array.from({length: options.streams}, async (_value, index) => runStreamCaller(cluster, index, options.tokens)),
+			...Array.from({length: options.reservers}, async (_value, index) => runReservationCaller(cluster, index)),
+			recordVersions(cluster),
 		]);
-		await Promise.all(Array.from({length: options.lanes}, async () => runLane(world, options, tell)));
-		await noteFinalVersions(world);
-		world.isOver = true;
-		await load;
-		collectArrivals(world);
-		return world.history;
+		await Promise.all(Array.from({length: options.lanes}, async () => runLane(cluster, options, printLine)));
+		await recordFinalVersions(cluster);
+		cluster.isOver = true;
+		await callers;
+		collectArrivals(cluster);
+		return cluster.history;
 	} finally {
-		world.isOver = true;
-		await closeChaosCluster(world);
+		cluster.isOver = true;
+		await closeChaosCluster(cluster);
 	}
 };
 
-const countTold = (calls: readonly CallEvent[], told: CallOutcome): number => calls.filter(call => call.told === told).length;
+const countOutcome = (calls: readonly CallEvent[], outcome: CallOutcome): number => calls.filter(call => call.told === outcome).length;
 
-const run = async (options: StormOptions, tell: (line: string) => void): Promise<Report> => {
-	const history = await runStorm(options, tell);
+const run = async (options: ChaosOptions, printLine: (line: string) => void): Promise<Report> => {
+	const history = await runStorm(options, printLine);
 	const violations = findViolations(history);
 	for (const {promise, detail} of violations) {
-		tell(`BROKEN ${promise}: ${detail}`);
+		printLine(`BROKEN ${promise}: ${detail}`);
 	}
 
 	return {
@@ -92,10 +92,10 @@
 		seed: options.seed,
 		violations: violations.length,
 		calls: history.calls.length,
-		answered: countTold(history.calls, 'answered'),
-		notRun: countTold(history.calls, 'not_run'),
-		unknown: countTold(history.calls, 'unknown'),
-		cut: countTold(history.calls, 'cut'),
+		answered: countOutcome(history.calls, 'answered'),
+		notRun: countOutcome(history.calls, 'not_run'),
+		unknown: countOutcome(history.calls, 'unknown'),
+		cut: countOutcome(history.calls, 'cut'),
 		notices: history.notices.length,
 		stops: history.stops.length,
 		harms: history.harms.length,
--- a/scripts/measure/src/jumping-clock.ts
+++ b/scripts/measure/src/jumping-clock.ts
@@ -1,9 +1,9 @@
-/** The system's clock with an offset that a test or a storm changes, as a time service does when it sets an instance right. */
+/** The system clock plus an adjustable offset, which simulates clock steps by a time synchronization service. */
 import {systemClock, type Clock} from '@shallotpass/common/clock.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 
 export type JumpingClock = Clock & {
-	/** Milliseconds ahead of the system's clock; negative when behind. */
+	/** Sets the offset to the system clock in milliseconds; negative if behind. */
 	readonly jumpTo: (offsetMs: number) => void;
 };
 
--- a/scripts/measure/src/latencies.ts
+++ b/scripts/measure/src/latencies.ts
@@ -1,21 +1,21 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 
-/** Latencies in microseconds, reported in milliseconds. */
+/** Histogram of latencies with a resolution of one microsecond; all values are in milliseconds. */
 export type Latencies = {
 	readonly record: (milliseconds: number) => void;
 	readonly get: (percentile: number) => number;
 	readonly count: () => number;
 };
 
-const microsecondsInMs = 1000;
+const microsecondsPerMs = 1000;
 
 export const makeLatencies = (): Latencies => {
 	const histogram: Histogram = build({lowestDiscernibleValue: 1, highestTrackableValue: 600_000_000, numberOfSignificantValueDigits: 3});
 	return {
 		record(milliseconds) {
-			histogram.recordValue(Math.max(1, Math.round(milliseconds * microsecondsInMs)));
+			histogram.recordValue(Math.max(1, Math.round(milliseconds * microsecondsPerMs)));
 		},
-		get: percentile => histogram.getValueAtPercentile(percentile) / microsecondsInMs,
+		get: percentile => histogram.getValueAtPercentile(percentile) / microsecondsPerMs,
 		count: () => histogram.totalCount,
 	};
 };
--- a/scripts/measure/src/local-fleet.ts
+++ b/scripts/measure/src/local-fleet.ts
@@ -1,4 +1,4 @@
-/** Stand-ins and daemons together in one process, on free ports of the loopback. */
+/** Starts the platform stand-ins and daemons in one process, on free ports of the loopback interface. */
 import {createHash} from 'node:crypto';
 import {type Clock} from '@shallotpass/common/clock.js';
 import {settingsSchema, type Settings} from '@shallotpass/common/settings-schema.js';
@@ -44,12 +44,12 @@
 	readonly peers?: Partial<NonNullable<SettingsInput['peers']>>;
 	readonly logUrl?: string;
 	readonly instancesUrl?: string;
-	/** Platform that runs elsewhere. */
+	/** URLs of a platform that is not in this process; used if `platform` is undefined. */
 	readonly platformUrls?: NonNullable<SettingsInput['platform']>;
 	readonly listenPeers?: string;
-	/** IP address of the instance; each zone of a loopback fleet has its own. */
+	/** IP address of the instance; each zone of a zoned fleet has its own loopback address. */
 	readonly address?: string;
-	/** Address of a relay before the peers' listener. */
+	/** Address of a relay in front of the peer listener, announced to the other daemons. */
 	readonly announcePeersAs?: string;
 	readonly tracing?: SettingsInput['tracing'];
 	readonly clock?: Clock;
@@ -78,12 +78,12 @@
 export const startMember = async (options: MemberOptions): Promise<Daemon> =>
 	startDaemon({settings: makeSettings(options), clock: options.clock, announcePeersAs: options.announcePeersAs});
 
-/** Waits until the condition holds; throws when it has not by then. */
-export const waitFor = async (what: string, condition: () => boolean | Promise<boolean>, withinMs = 15_000): Promise<void> => {
-	const giveUpAt = Date.now() + withinMs;
+/** Waits until the condition holds; throws an error after the timeout. */
+export const waitFor = async (description: string, condition: () => boolean | Promise<boolean>, timeoutMs = 15_000): Promise<void> => {
+	const deadline = Date.now() + timeoutMs;
 	while (!await condition()) { // eslint-disable-line no-await-in-loop -- polls
-		if (Date.now() > giveUpAt) {
-			throw new Error(`${what}: not within ${withinMs} ms`);
+		if (Date.now() > deadline) {
+			throw new Error(`condition not met within ${timeoutMs} ms: ${description}`);
 		}
 
 		await new Promise(resolve => { // eslint-disable-line no-await-in-loop -- polls
@@ -92,8 +92,8 @@
 	}
 };
 
-/** Configuration of the stand-ins: a model service, a service that must not repeat and one that may. */
-export const makeConfigurationText = (note = 'first'): string => `# ${note}
+/** Makes a configuration for the stand-ins: a model service, a plain service that must not be repeated and one that may. The comment makes texts distinct. */
+export const makeConfigurationText = (comment = 'first'): string => `# ${comment}
 credits_expire_at = 2030-01-01T00:00:00Z
 
 [[class]]
@@ -131,7 +131,7 @@
 
 export type ApplyOutcome = {readonly status: number; readonly body: {readonly version?: number; readonly id?: string; readonly kind?: string}};
 
-/** Applies a configuration through a daemon's admin interface. */
+/** Applies a configuration through a daemon's admin API; `base` is the version that it must replace. */
 export const applyThrough = async (daemon: Pick<Daemon, 'admin'>, text: string, base?: number, team = 'default'): Promise<ApplyOutcome> => {
 	const response = await fetch(`http://${daemon.admin}/admin/v1/teams/${team}/configuration`, {
 		method: 'PUT',
@@ -141,7 +141,7 @@
 	return {status: response.status, body: await response.json() as ApplyOutcome['body']};
 };
 
-/** Members that a daemon knows, itself included. */
+/** Returns the number of members that a daemon knows, including itself. */
 export const countMembers = async (admin: string): Promise<number> => {
 	const response = await fetch(`http://${admin}/admin/v1/members`, {headers: {authorization: `Bearer ${operatorKey}`}});
 	const {members} = await response.json() as {members: readonly unknown[]};
--- a/scripts/measure/src/membership-experiment.ts
+++ b/scripts/measure/src/membership-experiment.ts
@@ -1,4 +1,4 @@
-/** Bytes and processor time of membership by number of members, time to notice a death, false suspicions under delay. */
+/** Measures the membership protocol by number of members: network traffic, CPU time, failure detection time and false suspicions with delayed messages. */
 import {setMaxListeners} from 'node:events';
 import process from 'node:process';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -20,40 +20,40 @@
 	experiment: z.literal('membership'),
 	seed: z.int(),
 	members: z.array(z.int().positive()),
-	/** Largest number of members that get sockets of their own; above, messages are handed over in memory. */
+	/** Maximum number of members that use real sockets; larger groups exchange messages in memory. */
 	mostWithSockets: z.int().positive(),
 	probeEveryMs: z.int().positive(),
 	suspectForMs: z.int().positive(),
 	settleMs: z.int().positive(),
 	runMs: z.int().positive(),
 	deaths: z.int().positive(),
-	/** Share of messages that are late, and by how much. */
+	/** Share of messages that are delayed, and the delay. */
 	lateShare: z.number().min(0).max(1),
 	lateMs: z.int().positive(),
 });
 
 type Options = z.output<typeof schema>;
 
-type Node = {
+type MemberNode = {
 	readonly id: string;
 	readonly membership: MembershipTask;
 	readonly countBytes: () => number;
 	readonly stop: () => Promise<void>;
 };
 
-/** Framing of a line on the wire beside its JSON: code, id, method, and the TCP and IP header of one segment. */
-const frameBytes = 22 + 50 + 52;
+/** Overhead of a message on the wire in addition to its JSON: code, id, method, and the TCP and IP headers of one segment. */
+const frameOverheadBytes = 22 + 50 + 52;
 
-type Network = {
-	readonly answer: Map<string, MembershipTask>;
-	/** Milliseconds that the next message is held back. */
-	getDelay: () => number;
+type SimulatedNetwork = {
+	readonly membersByAddress: Map<string, MembershipTask>;
+	/** Returns the delay of the next message in milliseconds. */
+	getDelayMs: () => number;
 };
 
 type NodeOptions = {
 	readonly index: number;
 	readonly options: Options;
-	readonly network: Network;
+	readonly network: SimulatedNetwork;
 	readonly seeds: readonly string[];
 	readonly hasSockets: boolean;
 };
@@ -75,17 +75,17 @@
 
 type MemoryClient = {readonly client: PeerClient; readonly bytes: {sent: number; received: number}};
 
-/** Hands questions over in memory and counts what they would be on the wire. */
-const makeMemoryClient = (id: string, network: Network): MemoryClient => {
+/** Makes a peer client that delivers requests in memory and counts the bytes that they would take on the wire. */
+const makeMemoryClient = (id: string, network: SimulatedNetwork): MemoryClient => {
 	const bytes = {sent: 0, received: 0};
 	const client = {
 		async ask(address: string, method: string, parameters: unknown, deadline: number) {
-			bytes.sent += JSON.stringify(parameters).length + frameBytes;
+			bytes.sent += JSON.stringify(parameters).length + frameOverheadBytes;
 			await delay(network);
-			const target = network.answer.get(address);
+			const target = network.membersByAddress.get(address);
 			if (target === undefined || Date.now() > deadline) {
 				await sleep(Math.max(0, deadline - Date.now()));
-				throw new Error('no answer');
+				throw new Error('the peer did not respond');
 			}
 
 			const result = method === 'probe'
@@ -93,39 +93,40 @@
 				: await target.answerProbeFor((parameters as {id: string}).id);
 			await delay(network);
 			if (Date.now() > deadline) {
-				throw new Error('a late answer');
+				throw new Error('the peer responded after the deadline');
 			}
 
-			bytes.received += JSON.stringify(result).length + frameBytes;
+			bytes.received += JSON.stringify(result).length + frameOverheadBytes;
 			return result as never;
 		},
-		forget() {/* there are no connections */},
+		forget() {/* no connections to close */},
 		bytes,
 	} as unknown as PeerClient;
 	return {client, bytes};
 };
 
-const delay = async (network: Network): Promise<void> => {
-	const milliseconds = network.getDelay();
+/** Waits for the simulated delay of one message. */
+const delay = async (network: SimulatedNetwork): Promise<void> => {
+	const milliseconds = network.getDelayMs();
 	if (milliseconds > 0) {
 		await sleep(milliseconds);
 	}
 };
 
-const startNode = async ({index, options, network, seeds, hasSockets}: NodeOptions): Promise<Node> => {
+const startNode = async ({index, options, network, seeds, hasSockets}: NodeOptions): Promise<MemberNode> => {
 	const id = `entry-${index}`;
-	const stopping = new AbortController();
-	setMaxListeners(0, stopping.signal);
-	const environment = makeEnvironment(id, seeds, options, stopping.signal);
+	const abortController = new AbortController();
+	setMaxListeners(0, abortController.signal);
+	const environment = makeEnvironment(id, seeds, options, abortController.signal);
 	const socketClient = hasSockets
 		? makePeerClient({
-			selfId: id, localAddress: '127.0.0.1', keys: [peerKey], now: Date.now, signal: stopping.signal,
+			selfId: id, localAddress: '127.0.0.1', keys: [peerKey], now: Date.now, signal: abortController.signal,
 		})
 		: undefined;
-	const memory = makeMemoryClient(id, network);
+	const memoryClient = makeMemoryClient(id, network);
 	const membership = startMembershipTask({
 		environment,
-		client: socketClient ?? memory.client,
+		client: socketClient ?? memoryClient.client,
 		epoch: Date.now(),
 		makeVersionDigest: () => ({default: 1}),
 		receiveVersions() {/* not measured here */},
@@ -143,84 +144,84 @@
 				},
 				probeFor: async (parameters: {id: string}) => membership.answerProbeFor(parameters.id),
 			} as unknown as PeerHandlers,
-			onRefused() {/* none is expected */},
+			onRefused() {/* no refusals are expected */},
 		});
 	}
 
 	const address = server?.address ?? `127.0.0.1:${index + 1}`;
-	network.answer.set(address, membership);
+	network.membersByAddress.set(address, membership);
 	membership.start(address);
 	return {
 		id,
 		membership,
 		countBytes: () => socketClient === undefined
-			// What is asked of this member comes to as much as it asks.
-			? 2 * (memory.bytes.sent + memory.bytes.received)
+			// Only this member's own requests are counted; the requests that it receives take as many bytes on average.
+			? 2 * (memoryClient.bytes.sent + memoryClient.bytes.received)
 			: socketClient.bytes.sent + socketClient.bytes.received + server!.bytes.sent + server!.bytes.received,
 		async stop() {
-			network.answer.delete(address);
-			stopping.abort();
+			network.membersByAddress.delete(address);
+			abortController.abort();
 			await server?.close();
 		},
 	};
 };
 
-const countSuspected = (nodes: readonly Node[]): number => {
+const countSuspicions = (nodes: readonly MemberNode[]): number => {
 	const members: MemberUpdate[] = nodes.flatMap(node => [...node.membership.getState().members.values()]);
 	return members.filter(member => member.status === 'suspect' || member.status === 'dead').length;
 };
 
-const countKnown = (node: Node): number => node.membership.listReachable().length;
+const countReachable = (node: MemberNode): number => node.membership.listReachable().length;
 
-/** Kills one member after the other and waits until a majority has noticed. */
-const measureDeaths = async (nodes: Node[], deaths: number) => {
-	const noticed = makeLatencies();
+/** Stops one member after the other and measures the time until a majority has detected the failure. */
+const measureFailureDetection = async (nodes: MemberNode[], deaths: number) => {
+	const detectionTimes = makeLatencies();
 	for (let index = 0; index < deaths; index++) {
-		const victim = nodes.pop()!;
+		const stoppedNode = nodes.pop()!;
 		const startedAt = performance.now();
-		await victim.stop(); // eslint-disable-line no-await-in-loop -- one death after the other
-		// eslint-disable-next-line no-await-in-loop -- one death after the other
-		await waitFor('the death is noticed', () => {
-			const count = nodes.filter(node => node.membership.getState().members.get(victim.id)?.status !== 'alive').length;
+		await stoppedNode.stop(); // eslint-disable-line no-await-in-loop -- failures are sequential
+		// eslint-disable-next-line no-await-in-loop -- failures are sequential
+		await waitFor('a majority has detected the failure', () => {
+			const count = nodes.filter(node => node.membership.getState().members.get(stoppedNode.id)?.status !== 'alive').length;
 			return count * 2 > nodes.length;
 		}, 120_000);
-		noticed.record(performance.now() - startedAt);
+		detectionTimes.record(performance.now() - startedAt);
 	}
 
-	return {p50: noticed.get(50), max: noticed.get(100)};
+	return {p50: detectionTimes.get(50), max: detectionTimes.get(100)};
 };
 
-const countFalseSuspicions = async (nodes: readonly Node[], network: Network, options: Options): Promise<number> => {
+const countFalseSuspicions = async (nodes: readonly MemberNode[], network: SimulatedNetwork, options: Options): Promise<number> => {
 	const random = makeRandom(options.seed);
-	network.getDelay = () => random() < options.lateShare ? options.lateMs : 0;
-	let most = 0;
-	const endAt = Date.now() + options.runMs;
-	while (Date.now() < endAt) {
-		await sleep(20); // eslint-disable-line no-await-in-loop -- watches
-		most = Math.max(most, countSuspected(nodes));
+	network.getDelayMs = () => random() < options.lateShare ? options.lateMs : 0;
+	let maxSuspected = 0;
+	const endsAt = Date.now() + options.runMs;
+	while (Date.now() < endsAt) {
+		await sleep(20); // eslint-disable-line no-await-in-loop -- polls
+		maxSuspected = Math.max(maxSuspected, countSuspicions(nodes));
 	}
 
-	network.getDelay = () => 0;
-	return most;
+	network.getDelayMs = () => 0;
+	return maxSuspected;
 };
 
 const measurePoint = async (count: number, options: Options) => {
-	const network: Network = {answer: new Map(), getDelay: () => 0};
+	const network: SimulatedNetwork = {membersByAddress: new Map(), getDelayMs: () => 0};
 	const hasSockets = count <= options.mostWithSockets;
-	const nodes: Node[] = [];
+	const nodes: MemberNode[] = [];
 	const seeds: string[] = [];
 	for (let index = 0; index < count; index++) {
-		// eslint-disable-next-line no-await-in-loop -- each seeds the next
+		// eslint-disable-next-line no-await-in-loop -- earlier members are seeds of the next
 		const node = await startNode({
 			index, options, network, seeds: seeds.slice(0, 3), hasSockets,
 		});
 		nodes.push(node);
-		seeds.push([...network.answer.keys()].at(-1)!);
+		seeds.push([...network.membersByAddress.keys()].at(-1)!);
 	}
 
-	await waitFor('all know all', () => nodes.every(node => countKnown(node) === count), 180_000);
-	// The start of the fleet is news that must have been passed on before the steady state is seen.
-	await waitFor('old news is told', () => nodes.every(node => node.membership.getState().rumors.length === 0), 400_000);
+	await waitFor('every member knows all others', () => nodes.every(node => countReachable(node) === count), 180_000);
+	// The membership updates of the startup must be disseminated before the steady state is measured.
+	await waitFor('the membership updates of the startup are disseminated', () => nodes.every(node => node.membership.getState().rumors.length === 0), 400_000);
 	await sleep(options.settleMs);
 	const bytesBefore = nodes.map(node => node.countBytes());
 	const cpuBefore = process.cpuUsage();
@@ -229,9 +230,9 @@
 	const seconds = (performance.now() - startedAt) / 1000;
 	const cpu = process.cpuUsage(cpuBefore);
 	const bytes = nodes.map((node, index) => (node.countBytes() - bytesBefore[index]!) / seconds);
-	const falseSuspicions = countSuspected(nodes);
-	const lateSuspicions = await countFalseSuspicions(nodes, network, options);
-	const deaths = await measureDeaths(nodes, options.deaths);
+	const falseSuspicions = countSuspicions(nodes);
+	const suspicionsWhenLate = await countFalseSuspicions(nodes, network, options);
+	const deaths = await measureFailureDetection(nodes, options.deaths);
 	await Promise.all(nodes.map(async node => node.stop()));
 	return {
 		members: count,
@@ -240,17 +241,17 @@
 		mostBytesPerSecond: Math.round(Math.max(...bytes)),
 		corePercent: round(((cpu.user + cpu.system) / 1e6 / seconds / count) * 100, 3),
 		falseSuspicions,
-		falseSuspicionsWhenLate: lateSuspicions,
+		falseSuspicionsWhenLate: suspicionsWhenLate,
 		deathNoticedMs: deaths,
 	};
 };
 
-const run = async (options: Options, tell: (line: string) => void): Promise<Report> => {
+const run = async (options: Options, printLine: (line: string) => void): Promise<Report> => {
 	const points = [];
 	for (const count of options.members) {
-		const point = await measurePoint(count, options); // eslint-disable-line no-await-in-loop -- one after the other
+		const point = await measurePoint(count, options); // eslint-disable-line no-await-in-loop -- group sizes are measured sequentially
 		points.push(point);
-		tell(`${count} members: ${point.bytesPerSecond} bytes/s, ${point.corePercent}% of a core, death noticed in ${point.deathNoticedMs.p50} ms, false suspicions ${point.falseSuspicions}, ${point.falseSuspicionsWhenLate} when late`);
+		printLine(`${count} members: ${point.bytesPerSecond} bytes/s, ${point.corePercent}% of a core, failure detected in ${point.deathNoticedMs.p50} ms, false suspicions ${point.falseSuspicions}, ${point.falseSuspicionsWhenLate} with delayed messages`);
 	}
 
 	return {
--- a/scripts/measure/src/path-experiment.ts
+++ b/scripts/measure/src/path-experiment.ts
@@ -1,4 +1,4 @@
-/** What the daemon adds to a streamed answer, against the same engine called directly in the same run. */
+/** Measures the latency that the daemon adds to a streamed answer, compared with direct requests to the same engine and a minimal proxy. */
 import process from 'node:process';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {Agent} from 'undici';
@@ -25,9 +25,9 @@
 	rounds: z.int().positive(),
 	floodStreams: z.int().positive(),
 	floodTokens: z.int().positive(),
-	/** Requests of each of 100 streams before anything counts. */
+	/** Requests of each of 100 streams before the measurement. */
 	warmUpRequests: z.int().positive(),
-	/** Pace of the engine in the comparison, in milliseconds; the flood goes as fast as it can. */
+	/** Time between tokens of the engine in the latency comparison; the throughput test has no pacing. */
 	tokenMs: z.number().positive(),
 });
 
@@ -49,7 +49,7 @@
 	readonly requests: number;
 	readonly tokens: number;
 	readonly label: string;
-	/** Longest pause of a stream between two questions, in milliseconds. */
+	/** Maximum pause of a stream before each request. */
 	readonly pauseMs: number;
 	readonly random: () => number;
 };
@@ -58,33 +58,33 @@
 	firstToken: makeLatencies(), whole: makeLatencies(), chunks: 0, lost: 0, stray: 0, refused: 0, milliseconds: 0,
 });
 
-const runLoad = async (options: LoadOptions, into: LoadResult): Promise<void> => {
+const runLoad = async (options: LoadOptions, totals: LoadResult): Promise<void> => {
 	const dispatcher = new Agent({connections: options.streams, pipelining: 1});
 	const startedAt = performance.now();
 	const runStream = async (stream: number): Promise<void> => {
 		for (let index = 0; index < options.requests; index++) {
-			await sleep(options.random() * options.pauseMs); // eslint-disable-line no-await-in-loop -- streams start apart
+			await sleep(options.random() * options.pauseMs); // eslint-disable-line no-await-in-loop -- staggers the requests
 			const marker = `${options.label}-${stream}-${index}`;
-			// eslint-disable-next-line no-await-in-loop -- one question after the other on each stream
+			// eslint-disable-next-line no-await-in-loop -- the requests of a stream are sequential
 			const result = await askStream({
 				address: options.address, marker, tokens: options.tokens, dispatcher,
 			});
-			into.chunks += result.chunks;
-			into.stray += result.strayTokens;
-			into.refused += result.status === 200 ? 0 : 1;
-			into.lost += result.isWhole ? 0 : 1;
-			into.firstToken.record(result.firstTokenMs ?? result.endMs);
-			into.whole.record(result.endMs);
+			totals.chunks += result.chunks;
+			totals.stray += result.strayTokens;
+			totals.refused += result.status === 200 ? 0 : 1;
+			totals.lost += result.isWhole ? 0 : 1;
+			totals.firstToken.record(result.firstTokenMs ?? result.endMs);
+			totals.whole.record(result.endMs);
 		}
 	};
 
 	await Promise.all(Array.from({length: options.streams}, async (_value, stream) => runStream(stream)));
-	into.milliseconds += performance.now() - startedAt;
+	totals.milliseconds += performance.now() - startedAt;
 	await dispatcher.close();
 };
 
-/** An engine whose own work costs nothing, so that what is measured is the daemon. */
-const freeEngine = {
+/** An engine with almost no processing time, so that the measurement shows the daemon's overhead. */
+const zeroCostEngine = {
 	stepMs: 1, sequenceMs: 0, prefillTokenMs: 0, mostRunning: 4096, prefillChunkTokens: 1_000_000,
 };
 
@@ -102,23 +102,24 @@
 	return startWorker({kind: 'daemon', settings, configurationText});
 };
 
-type Way = {
+type MeasuredPath = {
+	/** `bare` is the minimal proxy of worker-host.ts. */
 	readonly name: 'direct' | 'bare' | 'daemon';
 	readonly address: string;
 	readonly result: LoadResult;
 };
 
-const subtractQuantiles = (one: Quantiles, other: Quantiles): Quantiles => ({
-	p50: round(one.p50 - other.p50),
-	p95: round(one.p95 - other.p95),
-	p99: round(one.p99 - other.p99),
+const subtractQuantiles = (left: Quantiles, right: Quantiles): Quantiles => ({
+	p50: round(left.p50 - right.p50),
+	p95: round(left.p95 - right.p95),
+	p99: round(left.p99 - right.p99),
 });
 
-const compare = async (options: Options, streams: number, addresses: ReadonlyArray<Pick<Way, 'name' | 'address'>>) => {
-	const ways: Way[] = addresses.map(way => ({...way, result: makeResult()}));
+const comparePaths = async (options: Options, streams: number, addresses: ReadonlyArray<Pick<MeasuredPath, 'name' | 'address'>>) => {
+	const paths: MeasuredPath[] = addresses.map(path => ({...path, result: makeResult()}));
 	for (let index = 0; index < options.rounds; index++) {
-		for (const {name, address, result} of ways) {
-			// eslint-disable-next-line no-await-in-loop -- in turn, so that drift of the machine strikes all
+		for (const {name, address, result} of paths) {
+			// eslint-disable-next-line no-await-in-loop -- paths alternate, so that drift of the machine affects all of them
 			await runLoad({
 				streams,
 				requests: options.requestsPerStream,
@@ -131,8 +132,8 @@
 		}
 	}
 
-	const [direct, bare, daemon] = ways.map(way => getQuantiles(way.result.firstToken));
-	const results = ways.map(way => way.result);
+	const [direct, bare, daemon] = paths.map(path => getQuantiles(path.result.firstToken));
+	const results = paths.map(path => path.result);
 	return {
 		streams,
 		requests: results.reduce((sum, result) => sum + result.whole.count(), 0),
@@ -147,14 +148,14 @@
 	};
 };
 
-const flood = async (options: Options, address: string, daemon: HostedWorker | undefined) => {
+const measureThroughput = async (options: Options, address: string, daemon: HostedWorker | undefined) => {
 	const result = makeResult();
-	const before = await daemon?.readUsage();
+	const usageBefore = await daemon?.readUsage();
 	await runLoad({
 		address, streams: options.floodStreams, requests: 2, tokens: options.floodTokens, label: 'f', pauseMs: 0, random: Math.random,
 	}, result);
-	const after = await daemon?.readUsage();
-	const busyMs = after === undefined || before === undefined ? undefined : after.activeMs - before.activeMs;
+	const usageAfter = await daemon?.readUsage();
+	const busyMs = usageAfter === undefined || usageBefore === undefined ? undefined : usageAfter.activeMs - usageBefore.activeMs;
 	return {
 		chunksPerSecond: Math.round((result.chunks / result.milliseconds) * 1000),
 		daemonBusyShare: busyMs === undefined ? undefined : round(busyMs / result.milliseconds),
@@ -164,21 +165,21 @@
 	};
 };
 
-const run = async (options: Options, tell: (line: string) => void): Promise<Report> => {
+const run = async (options: Options, printLine: (line: string) => void): Promise<Report> => {
 	const models = ['assistant-7b'];
-	const engine = await startWorker({kind: 'engine', parameters: {...freeEngine, paceMs: options.tokenMs}, models});
+	const engine = await startWorker({kind: 'engine', parameters: {...zeroCostEngine, paceMs: options.tokenMs}, models});
 	const daemon = await startDaemonWorker(engine);
 	const bare = await startWorker({kind: 'bare', target: engine.address});
-	const floodEngine = await startWorker({kind: 'engine', parameters: freeEngine, models});
+	const floodEngine = await startWorker({kind: 'engine', parameters: zeroCostEngine, models});
 	const floodDaemon = await startDaemonWorker(floodEngine);
 	try {
-		const ways = [
+		const paths = [
 			{name: 'direct', address: engine.address},
 			{name: 'bare', address: bare.address},
 			{name: 'daemon', address: daemon.address},
 		] as const;
-		for (const {address} of [...ways, {address: floodDaemon.address}, {address: floodEngine.address}]) {
-			// eslint-disable-next-line no-await-in-loop -- compiled code first, or the first requests are all that is seen
+		for (const {address} of [...paths, {address: floodDaemon.address}, {address: floodEngine.address}]) {
+			// eslint-disable-next-line no-await-in-loop -- warms up the JIT compiler, whose cost would dominate the first requests
 			await runLoad({
 				address, streams: 100, requests: options.warmUpRequests, tokens: 5, label: 'w', pauseMs: 20, random: Math.random,
 			}, makeResult());
@@ -186,14 +187,14 @@
 
 		const points = [];
 		for (const streams of options.streams) {
-			const point = await compare(options, streams, ways); // eslint-disable-line no-await-in-loop -- one after the other
+			const point = await comparePaths(options, streams, paths); // eslint-disable-line no-await-in-loop -- points are measured sequentially
 			points.push(point);
-			tell(`${streams} streams: first token p95 ${point.directFirstTokenMs.p95} ms direct, ${point.bareFirstTokenMs.p95} bare, ${point.daemonFirstTokenMs.p95} through the daemon`);
+			printLine(`${streams} streams: first token p95 ${point.directFirstTokenMs.p95} ms direct, ${point.bareFirstTokenMs.p95} bare, ${point.daemonFirstTokenMs.p95} through the daemon`);
 		}
 
-		const direct = await flood(options, floodEngine.address, undefined);
-		const through = await flood(options, floodDaemon.address, floodDaemon);
-		tell(`flood: ${direct.chunksPerSecond} chunks/s direct, ${through.chunksPerSecond} through the daemon`);
+		const direct = await measureThroughput(options, floodEngine.address, undefined);
+		const through = await measureThroughput(options, floodDaemon.address, floodDaemon);
+		printLine(`throughput: ${direct.chunksPerSecond} chunks/s direct, ${through.chunksPerSecond} through the daemon`);
 		const usage = await floodDaemon.readUsage();
 		return {
 			experiment: 'path',
--- a/scripts/measure/src/reclaim-experiment.ts
+++ b/scripts/measure/src/reclaim-experiment.ts
@@ -1,4 +1,4 @@
-/** Reclaims under load: one backend server, a zone at once, a death without notice, the daemon's own instance. Nothing may be lost. */
+/** Reclaims instances under load: one engine, a whole zone, engines without notice, and a daemon's own instance. No request may be lost. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {z} from 'zod';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
@@ -21,7 +21,7 @@
 	tokens: z.int().positive(),
 	stepMs: z.number().positive(),
 	noticeMs: z.int().positive(),
-	/** How often the four kinds of reclaim follow each other. */
+	/** Number of rounds; each round runs every kind of reclaim once. */
 	rounds: z.int().positive(),
 });
 
@@ -39,7 +39,7 @@
 
 type Engine = {readonly id: string; readonly zone: string; server: EngineStandIn};
 
-type World = {
+type TestCluster = {
 	readonly options: Options;
 	readonly platform: FleetPlatform;
 	readonly engines: Engine[];
@@ -47,7 +47,7 @@
 	daemons: Daemon[];
 	readonly streams: Tally;
 	readonly reservations: Tally;
-	/** Requests that reached a backend server more than 3 s after its notice. */
+	/** Requests that reached an engine later than 3 s, or half the notice period if that is shorter, after its notice. */
 	lateArrivals: number;
 	isOver: boolean;
 	readonly random: () => number;
@@ -57,23 +57,23 @@
 	accepted: 0, answered: 0, refusedTruthfully: 0, brokenTruthfully: 0, lost: 0, stray: 0, unknown: 0,
 });
 
-const startEngine = async (world: Pick<World, 'options' | 'platform'>, id: string, zone: string): Promise<Engine> => {
-	const server = await startEngineStandIn({models: ['assistant-7b'], parameters: {stepMs: world.options.stepMs}});
-	world.platform.list.put({
+const startEngine = async (cluster: Pick<TestCluster, 'options' | 'platform'>, id: string, zone: string): Promise<Engine> => {
+	const server = await startEngineStandIn({models: ['assistant-7b'], parameters: {stepMs: cluster.options.stepMs}});
+	cluster.platform.list.put({
 		id, address: server.address, availabilityZone: zone, role: 'backend', state: 'live', services: ['assistant'],
 	});
 	return {id, zone, server};
 };
 
-const pickDaemon = (world: World): Daemon => world.daemons[Math.floor(world.random() * world.daemons.length)]!;
+const pickDaemon = (cluster: TestCluster): Daemon => cluster.daemons[Math.floor(cluster.random() * cluster.daemons.length)]!;
 
-const runStreams = async (world: World, stream: number): Promise<void> => {
-	const {streams: tally, options} = world;
-	for (let index = 0; !world.isOver; index++) {
+const runStreams = async (cluster: TestCluster, stream: number): Promise<void> => {
+	const {streams: tally, options} = cluster;
+	for (let index = 0; !cluster.isOver; index++) {
 		const marker = `s${stream}-${index}`;
 		tally.accepted++;
 		try {
-			const answer = await askStream({address: pickDaemon(world).callers, marker, tokens: options.tokens}); // eslint-disable-line no-await-in-loop -- one question after the other
+			const answer = await askStream({address: pickDaemon(cluster).callers, marker, tokens: options.tokens}); // eslint-disable-line no-await-in-loop -- the requests of a caller are sequential
 			tally.stray += answer.strayTokens;
 			if (answer.isWhole) {
 				tally.answered++;
@@ -90,13 +90,13 @@
 	}
 };
 
-const runReservations = async (world: World, worker: number): Promise<void> => {
-	const {reservations: tally} = world;
-	for (let index = 0; !world.isOver; index++) {
+const runReservations = async (cluster: TestCluster, worker: number): Promise<void> => {
+	const {reservations: tally} = cluster;
+	for (let index = 0; !cluster.isOver; index++) {
 		const key = `r${worker}-${index}`;
 		tally.accepted++;
 		try {
-			const answer = await reserve({address: pickDaemon(world).callers, key, body: JSON.stringify({key})}); // eslint-disable-line no-await-in-loop -- one reservation after the other
+			const answer = await reserve({address: pickDaemon(cluster).callers, key, body: JSON.stringify({key})}); // eslint-disable-line no-await-in-loop -- reservations are sequential
 			if (answer.status === 200) {
 				tally.answered++;
 			} else if (answer.body.executed === 'no') {
@@ -112,60 +112,60 @@
 	}
 };
 
-const watchLateArrivals = async (world: World, engines: readonly Engine[]): Promise<void> => {
-	await sleep(Math.min(3000, world.options.noticeMs / 2));
+const countLateArrivals = async (cluster: TestCluster, engines: readonly Engine[]): Promise<void> => {
+	await sleep(Math.min(3000, cluster.options.noticeMs / 2));
 	const before = engines.map(engine => engine.server.countRequests());
-	await sleep(Math.max(0, world.options.noticeMs - Math.min(3000, world.options.noticeMs / 2)));
+	await sleep(Math.max(0, cluster.options.noticeMs - Math.min(3000, cluster.options.noticeMs / 2)));
 	for (const [index, engine] of engines.entries()) {
-		world.lateArrivals += engine.server.countRequests() - before[index]!;
+		cluster.lateArrivals += engine.server.countRequests() - before[index]!;
 	}
 };
 
-const replace = async (world: World, engines: readonly Engine[]): Promise<void> => {
+const replaceEngines = async (cluster: TestCluster, engines: readonly Engine[]): Promise<void> => {
 	for (const engine of engines) {
-		world.platform.list.remove(engine.id);
-		const fresh = await startEngine(world, `${engine.id}x`, engine.zone); // eslint-disable-line no-await-in-loop -- few
-		world.engines[world.engines.indexOf(engine)] = fresh;
+		cluster.platform.list.remove(engine.id);
+		const replacement = await startEngine(cluster, `${engine.id}x`, engine.zone); // eslint-disable-line no-await-in-loop -- few engines
+		cluster.engines[cluster.engines.indexOf(engine)] = replacement;
 	}
 
 	await sleep(800);
 };
 
-const reclaimWithNotice = async (world: World, engines: readonly Engine[]): Promise<void> => {
-	const leavesAt = Date.now() + world.options.noticeMs;
+const reclaimWithNotice = async (cluster: TestCluster, engines: readonly Engine[]): Promise<void> => {
+	const leavesAt = Date.now() + cluster.options.noticeMs;
 	for (const engine of engines) {
-		world.platform.cloud.giveNotice(engine.id, leavesAt);
+		cluster.platform.cloud.giveNotice(engine.id, leavesAt);
 	}
 
-	await watchLateArrivals(world, engines);
+	await countLateArrivals(cluster, engines);
 	await Promise.all(engines.map(async engine => engine.server.close()));
-	await replace(world, engines);
+	await replaceEngines(cluster, engines);
 };
 
-const endWithoutNotice = async (world: World, engines: readonly Engine[]): Promise<void> => {
+const terminateWithoutNotice = async (cluster: TestCluster, engines: readonly Engine[]): Promise<void> => {
 	await Promise.all(engines.map(async engine => engine.server.close()));
 	await sleep(500);
-	await replace(world, engines);
+	await replaceEngines(cluster, engines);
 };
 
-const startDaemon = async (world: Pick<World, 'platform' | 'daemons'>, index: number): Promise<Daemon> => startMember({
-	id: `entry-${index}`, availabilityZone: `zone-${(index % 3) + 1}`, platform: world.platform, seeds: world.daemons.slice(0, 2).map(daemon => daemon.peers),
+const startDaemon = async (cluster: Pick<TestCluster, 'platform' | 'daemons'>, index: number): Promise<Daemon> => startMember({
+	id: `entry-${index}`, availabilityZone: `zone-${(index % 3) + 1}`, platform: cluster.platform, seeds: cluster.daemons.slice(0, 2).map(daemon => daemon.peers),
 });
 
-const reclaimDaemon = async (world: World, round: number): Promise<void> => {
-	const leaving = world.daemons[0]!;
-	world.platform.cloud.giveNotice(leaving.environment.settings.instance.id, Date.now() + 10_000);
-	// The balancer takes a daemon out when its readiness fails.
+const reclaimDaemon = async (cluster: TestCluster, round: number): Promise<void> => {
+	const leaving = cluster.daemons[0]!;
+	cluster.platform.cloud.giveNotice(leaving.environment.settings.instance.id, Date.now() + 10_000);
+	// The load balancer removes a daemon when its readiness check fails.
 	await waitFor('the daemon is not ready', () => !leaving.isReady());
-	world.daemons = world.daemons.slice(1);
+	cluster.daemons = cluster.daemons.slice(1);
 	await leaving.drain();
-	const fresh = await startDaemon(world, round + 10);
-	await waitFor('the new daemon serves', () => fresh.isReady() && fresh.getVersion('default') >= 0);
+	const replacement = await startDaemon(cluster, round + 10);
+	await waitFor('the new daemon is ready', () => replacement.isReady() && replacement.getVersion('default') >= 0);
 	await sleep(600);
-	world.daemons = [...world.daemons, fresh];
+	cluster.daemons = [...cluster.daemons, replacement];
 };
 
-const startWorld = async (options: Options): Promise<World> => {
+const startCluster = async (options: Options): Promise<TestCluster> => {
 	const platform = await startPlatform();
 	const services = await Promise.all(Array.from({length: 3}, async () => startPlainServiceStandIn()));
 	for (const [index, service] of services.entries()) {
@@ -174,64 +174,64 @@
 		});
 	}
 
-	const world: World = {
+	const cluster: TestCluster = {
 		options, platform, services, engines: [], daemons: [], streams: makeTally(), reservations: makeTally(), lateArrivals: 0, isOver: false, random: makeRandom(options.seed),
 	};
 	for (let zone = 1; zone <= options.zones; zone++) {
 		for (let index = 0; index < options.enginesPerZone; index++) {
-			world.engines.push(await startEngine(world, `engine-${zone}-${index}`, `zone-${zone}`)); // eslint-disable-line no-await-in-loop -- few
+			cluster.engines.push(await startEngine(cluster, `engine-${zone}-${index}`, `zone-${zone}`)); // eslint-disable-line no-await-in-loop -- few engines
 		}
 	}
 
 	for (let index = 0; index < 3; index++) {
-		world.daemons.push(await startDaemon(world, index)); // eslint-disable-line no-await-in-loop -- each seeds the next
+		cluster.daemons.push(await startDaemon(cluster, index)); // eslint-disable-line no-await-in-loop -- earlier daemons are seeds of the next
 	}
 
-	await waitFor('the daemons know each other', () => world.daemons.every(daemon => daemon.listMembers().length === 3));
-	await applyThrough(world.daemons[0]!, makeConfigurationText());
+	await waitFor('all daemons know each other', () => cluster.daemons.every(daemon => daemon.listMembers().length === 3));
+	await applyThrough(cluster.daemons[0]!, makeConfigurationText());
 	await sleep(1500);
-	return world;
+	return cluster;
 };
 
-const run = async (options: Options, tell: (line: string) => void): Promise<Report> => {
-	const world = await startWorld(options);
-	const load = Promise.all([
-		...Array.from({length: options.streams}, async (_value, index) => runStreams(world, index)),
-		...Array.from({length: 4}, async (_value, index) => runReservations(world, index)),
+const run = async (options: Options, printLine: (line: string) => void): Promise<Report> => {
+	const cluster = await startCluster(options);
+	const callers = Promise.all([
+		...Array.from({length: options.streams}, async (_value, index) => runStreams(cluster, index)),
+		...Array.from({length: 4}, async (_value, index) => runReservations(cluster, index)),
 	]);
-	const pauses = makeLatencies();
+	const roundLatencies = makeLatencies();
 	for (let round = 0; round < options.rounds; round++) {
-		/* eslint-disable no-await-in-loop -- one reclaim after the other */
+		/* eslint-disable no-await-in-loop -- reclaims are sequential */
 		const startedAt = performance.now();
-		await reclaimWithNotice(world, world.engines.slice(0, 1));
-		await reclaimWithNotice(world, world.engines.filter(engine => engine.zone === `zone-${(round % options.zones) + 1}`));
-		await endWithoutNotice(world, world.engines.slice(-1));
-		await endWithoutNotice(world, world.engines.filter(engine => engine.zone === `zone-${((round + 1) % options.zones) + 1}`));
-		await reclaimDaemon(world, round);
-		pauses.record(performance.now() - startedAt);
-		tell(`round ${round + 1}: ${JSON.stringify(world.streams)}`);
+		await reclaimWithNotice(cluster, cluster.engines.slice(0, 1));
+		await reclaimWithNotice(cluster, cluster.engines.filter(engine => engine.zone === `zone-${(round % options.zones) + 1}`));
+		await terminateWithoutNotice(cluster, cluster.engines.slice(-1));
+		await terminateWithoutNotice(cluster, cluster.engines.filter(engine => engine.zone === `zone-${((round + 1) % options.zones) + 1}`));
+		await reclaimDaemon(cluster, round);
+		roundLatencies.record(performance.now() - startedAt);
+		printLine(`round ${round + 1}: ${JSON.stringify(cluster.streams)}`);
 		/* eslint-enable no-await-in-loop */
 	}
 
-	world.isOver = true;
-	await load;
+	cluster.isOver = true;
+	await callers;
 	const counts = new Map<string, number>();
-	for (const {body} of world.services.flatMap(service => service.executions)) {
+	for (const {body} of cluster.services.flatMap(service => service.executions)) {
 		counts.set(body, (counts.get(body) ?? 0) + 1);
 	}
 
-	await Promise.all(world.daemons.map(async daemon => daemon.stop()));
-	await Promise.all([...world.engines.map(engine => engine.server), ...world.services].map(async server => server.close()));
-	await world.platform.close();
+	await Promise.all(cluster.daemons.map(async daemon => daemon.stop()));
+	await Promise.all([...cluster.engines.map(engine => engine.server), ...cluster.services].map(async server => server.close()));
+	await cluster.platform.close();
 	return {
 		experiment: 'reclaim',
 		seed: options.seed,
-		streams: world.streams,
-		reservations: world.reservations,
+		streams: cluster.streams,
+		reservations: cluster.reservations,
 		executionsMoreThanOnce: [...counts.values()].filter(count => count > 1).length,
-		lateArrivals: world.lateArrivals,
-		lost: world.streams.lost + world.reservations.lost,
-		roundMs: getQuantiles(pauses),
+		lateArrivals: cluster.lateArrivals,
+		lost: cluster.streams.lost + cluster.reservations.lost,
+		roundMs: getQuantiles(roundLatencies),
 	};
 };
 
--- a/scripts/measure/src/reference-pages.ts
+++ b/scripts/measure/src/reference-pages.ts
@@ -1,4 +1,4 @@
-/** Reference pages, made from what the code checks against. */
+/** Generates the reference pages from the schemas and tables that the code itself uses. */
 import {adminRoutes} from '@shallotpass/admin/routes.js';
 import {configurationTables} from '@shallotpass/common/configuration-schema.js';
 import {errorAnswers} from '@shallotpass/common/error-kinds.js';
@@ -21,7 +21,7 @@
 	readonly items?: JsonSchema;
 };
 
-type Row = {readonly key: string; readonly kind: string; readonly fallback: string; readonly meaning: string};
+type Row = {readonly key: string; readonly kind: string; readonly defaultText: string; readonly meaning: string};
 
 const describeKind = (schema: JsonSchema): string => {
 	if (schema.enum !== undefined) {
@@ -35,8 +35,8 @@
 	return schema.title ?? schema.type ?? 'any';
 };
 
-const listRows = (schema: JsonSchema, place: string): Row[] => Object.entries(schema.properties ?? {}).flatMap(([name, property]) => {
-	const key = `${place}${toFileKey(name)}`;
+const listRows = (schema: JsonSchema, prefix: string): Row[] => Object.entries(schema.properties ?? {}).flatMap(([name, property]) => {
+	const key = `${prefix}${toFileKey(name)}`;
 	if (property.properties !== undefined) {
 		return listRows(property, `${key}.`);
 	}
@@ -46,13 +46,13 @@
 	}
 
 	const isRequired = schema.required?.includes(name) ?? false;
-	const fallback = property.default === undefined ? (isRequired ? 'required' : 'none') : `\`${JSON.stringify(property.default)}\``;
+	const defaultText = property.default === undefined ? (isRequired ? 'required' : 'none') : `\`${JSON.stringify(property.default)}\``;
 	return [{
-		key, kind: describeKind(property), fallback, meaning: property.description ?? '',
+		key, kind: describeKind(property), defaultText, meaning: property.description ?? '',
 	}];
 });
 
-/** Every key of a schema as it is written in files. */
+/** Lists all keys of a schema as they are written in files. */
 export const listKeys = (schema: z.ZodType): string[] => listRows(toJsonSchema(schema), '').map(row => row.key);
 
 const toJsonSchema = (schema: z.ZodType): JsonSchema => z.toJSONSchema(schema, {io: 'input', unrepresentable: 'any'}) as JsonSchema;
@@ -60,14 +60,14 @@
 const formatKeys = (schema: z.ZodType): string => [
 	'| key | kind | default | meaning |',
 	'| --- | --- | --- | --- |',
-	...listRows(toJsonSchema(schema), '').map(row => `| \`${row.key}\` | ${row.kind} | ${row.fallback} | ${row.meaning} |`),
+	...listRows(toJsonSchema(schema), '').map(row => `| \`${row.key}\` | ${row.kind} | ${row.defaultText} | ${row.meaning} |`),
 ].join('\n');
 
-const generated = 'This page is written from the code by `npm run docs`.';
+const generatedNote = 'This page is written from the code by `npm run docs`.';
 
 const makeSettingsPage = (): string => `# Settings of the daemon
 
-${generated} \`[]\` marks a table that may stand several times, as \`[[admin_key]]\`.
+${generatedNote} \`[]\` marks a table that may stand several times, as \`[[admin_key]]\`.
 A mistake is told with file, key, expectation and finding, and the daemon does not start.
 
 ${formatKeys(settingsSchema)}
@@ -75,7 +75,7 @@
 
 const makeConfigurationPage = (): string => `# Configuration file
 
-${generated} \`[]\` marks a table that may stand several times, as \`[[service]]\`.
+${generatedNote} \`[]\` marks a table that may stand several times, as \`[[service]]\`.
 The file is applied as a whole with \`shallotpass apply FILE\`; \`shallotpass check FILE\` looks
 for mistakes without a daemon.
 
@@ -84,7 +84,7 @@
 
 const makeErrorsPage = (): string => `# Error kinds
 
-${generated} Every refusal is \`application/problem+json\` (RFC 9457) with \`kind\` and
+${generatedNote} Every refusal is \`application/problem+json\` (RFC 9457) with \`kind\` and
 \`executed\`. \`no\`: no backend server has seen the request. \`unknown\`: it may have run.
 \`yes\`: it ran. A kind may be told with more certainty than here, never with less.
 
@@ -95,7 +95,7 @@
 
 const makeMetricsPage = (): string => `# Metrics
 
-${generated} They are served at \`/metrics\` of the operators' listener, beside those of the
+${generatedNote} They are served at \`/metrics\` of the operators' listener, beside those of the
 process itself. Names end in their unit.
 
 | metric | kind | labels | meaning |
@@ -105,7 +105,7 @@
 
 const makeLogEventsPage = (): string => `# Log events of the gateway
 
-${generated} A line is one JSON object with \`level\`, \`time\` (milliseconds
+${generatedNote} A line is one JSON object with \`level\`, \`time\` (milliseconds
 since 1970), \`instance\`, \`event\` and the fields below; a field that does not apply is left out.
 The way from a failed request to its cause is in [OPERATIONS](../OPERATIONS.md).
 
@@ -116,7 +116,7 @@
 
 const makeRoutesPage = (): string => `# Operators' interface
 
-${generated} A key is sent as \`Authorization: Bearer KEY\`. \`/healthz\`, \`/readyz\` and
+${generatedNote} A key is sent as \`Authorization: Bearer KEY\`. \`/healthz\`, \`/readyz\` and
 \`/metrics\` need none.
 
 | method | path | least role |
--- a/scripts/measure/src/routing-experiment.ts
+++ b/scripts/measure/src/routing-experiment.ts
@@ -1,4 +1,4 @@
-/** Compares ways of choosing an engine on the users' deployments, in the same run and on the same requests. */
+/** Compares routing policies on the users' deployments with the same requests for each policy. */
 import {z} from 'zod';
 import {round} from './latencies.js';
 import {computeCapacity} from './routing/deployment.js';
@@ -11,11 +11,11 @@
 const schema = z.strictObject({
 	experiment: z.literal('routing'),
 	seed: z.int(),
-	/** Files in experiments/deployments, without their ending. */
+	/** Names of files in experiments/deployments, without extension. */
 	deployments: z.array(z.string()).min(1),
-	/** 1 is what the engines carry together with full batches. */
+	/** Loads relative to the deployment's capacity. */
 	loads: z.array(z.number().positive()).min(1),
-	/** Whether daemons are told of the engines' caches. */
+	/** Whether daemons receive the engines' cache events. */
 	cacheEvents: z.boolean(),
 	warmUpMs: z.number().nonnegative(),
 	untilMs: z.number().positive(),
@@ -30,12 +30,12 @@
 	readonly policies: ReadonlyArray<RunSummary & {readonly policy: string}>;
 };
 
-/** The own policy's figure over the best baseline's, less being better. */
-const compareToBest = (point: Point, getFigure: (summary: RunSummary) => number): number => {
+/** Returns a figure of our policy relative to the best baseline; lower is better. */
+const computeRatioToBest = (point: Point, getFigure: (summary: RunSummary) => number): number => {
 	const baselines = new Set(comparedPolicies.filter(policy => policy.isBaseline).map(policy => policy.name));
-	const own = point.policies.filter(summary => !baselines.has(summary.policy)).map(summary => getFigure(summary));
-	const others = point.policies.filter(summary => baselines.has(summary.policy)).map(summary => getFigure(summary));
-	return round(Math.min(...own) / Math.min(...others), 3);
+	const ownFigures = point.policies.filter(summary => !baselines.has(summary.policy)).map(summary => getFigure(summary));
+	const baselineFigures = point.policies.filter(summary => baselines.has(summary.policy)).map(summary => getFigure(summary));
+	return round(Math.min(...ownFigures) / Math.min(...baselineFigures), 3);
 };
 
 const describe = ({deployment, load, isReclaimed, policies}: Point): string => [
@@ -43,7 +43,7 @@
 	...policies.map(summary => `  ${summary.policy.padEnd(16)} credits/1000 ${summary.creditsPerThousand} recomputed ${summary.recomputedShare} ${summary.classes.map(item => `${item.class} ${item.withinTarget}`).join(' ')} refused ${summary.refused} attempts ${summary.attemptsPerRequest} fairness ${summary.fairness}`),
 ].join('\n');
 
-const run = async (options: Options, tell: (line: string) => void): Promise<Report> => {
+const run = async (options: Options, printLine: (line: string) => void): Promise<Report> => {
 	const jobs: ThreadJob[] = [];
 	for (const deployment of options.deployments.map(name => readDeployment(name))) {
 		for (const load of options.loads) {
@@ -55,23 +55,23 @@
 			}
 		}
 
-		tell(`${deployment.name}: a load of 1 is ${round(computeCapacity(deployment), 1)} chat requests a second`);
+		printLine(`${deployment.name}: a load of 1 equals ${round(computeCapacity(deployment), 1)} chat requests per second`);
 	}
 
 	const summaries = await runInThreads(jobs);
 	const points: Point[] = [];
-	for (let first = 0; first < jobs.length; first += comparedPolicies.length) {
-		const {plan} = jobs[first]!;
+	for (let firstJob = 0; firstJob < jobs.length; firstJob += comparedPolicies.length) {
+		const {plan} = jobs[firstJob]!;
 		points.push({
 			deployment: plan.deployment.name,
 			load: plan.load,
 			isReclaimed: plan.isReclaimed,
-			policies: comparedPolicies.map(({name}, index) => ({policy: name, ...summaries[first + index]!})),
+			policies: comparedPolicies.map(({name}, index) => ({policy: name, ...summaries[firstJob + index]!})),
 		});
 	}
 
 	for (const point of points) {
-		tell(describe(point));
+		printLine(describe(point));
 	}
 
 	return {
@@ -81,8 +81,8 @@
 			deployment: point.deployment,
 			load: point.load,
 			isReclaimed: point.isReclaimed,
-			recomputed: compareToBest(point, summary => summary.recomputedShare),
-			credits: compareToBest(point, summary => summary.creditsPerThousand),
+			recomputed: computeRatioToBest(point, summary => summary.recomputedShare),
+			credits: computeRatioToBest(point, summary => summary.creditsPerThousand),
 		})),
 		untrueRefusals: summaries.reduce((sum, summary) => sum + summary.untrueRefusals, 0),
 		unanswered: summaries.reduce((sum, summary) => sum + summary.unanswered, 0),
--- a/scripts/measure/src/run-experiment.ts
+++ b/scripts/measure/src/run-experiment.ts
@@ -1,4 +1,4 @@
-/** Finds an experiment by its name or its TOML file and runs it. */
+/** Runs an experiment by its name or the path of its TOML file. */
 import {existsSync, readFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 import {formatMistake, readToml} from '@shallotpass/common/toml-file.js';
@@ -18,12 +18,12 @@
 
 const getFolder = (): string => fileURLToPath(new URL('../experiments/', import.meta.url));
 
-const findFile = (name: string): string => name.endsWith('.toml') ? name : `${getFolder()}${name}.toml`;
+const getFile = (name: string): string => name.endsWith('.toml') ? name : `${getFolder()}${name}.toml`;
 
-export const runExperiment = async (name: string, seed: number | undefined, tell: (line: string) => void): Promise<Report> => {
-	const file = findFile(name);
+export const runExperiment = async (name: string, seed: number | undefined, printLine: (line: string) => void): Promise<Report> => {
+	const file = getFile(name);
 	if (!existsSync(file)) {
-		throw new Error(`there is no experiment ${name}; the experiments are ${experiments.map(item => item.name).join(', ')}`);
+		throw new Error(`unknown experiment "${name}"; available experiments: ${experiments.map(item => item.name).join(', ')}`);
 	}
 
 	const text = readFileSync(file, 'utf8');
@@ -33,11 +33,11 @@
 		throw new Error(`${file}: experiment: expected one of ${experiments.map(item => item.name).join(', ')}, found ${kind ?? 'nothing'}`);
 	}
 
-	const reading = readToml(text, experiment.schema);
-	if (reading.kind === 'mistakes') {
-		throw new Error(reading.mistakes.map(mistake => formatMistake(file, mistake)).join('\n'));
+	const result = readToml(text, experiment.schema);
+	if (result.kind === 'mistakes') {
+		throw new Error(result.mistakes.map(mistake => formatMistake(file, mistake)).join('\n'));
 	}
 
-	const options = reading.value as Record<string, unknown>;
-	return experiment.run(seed === undefined ? options : {...options, seed}, tell);
+	const options = result.value as Record<string, unknown>;
+	return experiment.run(seed === undefined ? options : {...options, seed}, printLine);
 };
--- a/scripts/measure/src/slopes-experiment.ts
+++ b/scripts/measure/src/slopes-experiment.ts
@@ -1,4 +1,4 @@
-/** Measures every slope of the capacity page and writes its table. */
+/** Measures how resource use grows with load (the slopes of docs/CAPACITY.md) and writes the table. */
 import {mkdirSync, readFileSync, writeFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 import {z} from 'zod';
@@ -10,12 +10,12 @@
 const schema = z.strictObject({
 	experiment: z.literal('slopes'),
 	seed: z.int(),
-	/** Whether the table of docs/CAPACITY.md is replaced; it is always written under reports/. */
+	/** Whether to replace the table in docs/CAPACITY.md; the table is always written to reports/slopes.md. */
 	writePage: z.boolean(),
 });
 
 const root = fileURLToPath(new URL('../../../', import.meta.url));
-const pageName = `${root}docs/CAPACITY.md`;
+const pageFile = `${root}docs/CAPACITY.md`;
 const tableStart = '<!-- slopes: written by npm run measure -- slopes -->';
 const tableEnd = '<!-- end of slopes -->';
 
@@ -23,24 +23,24 @@
 	const start = page.indexOf(tableStart);
 	const end = page.indexOf(tableEnd);
 	if (start === -1 || end < start) {
-		throw new Error(`docs/CAPACITY.md: expected the marks ${tableStart} and ${tableEnd}`);
+		throw new Error(`docs/CAPACITY.md: expected the markers ${tableStart} and ${tableEnd}`);
 	}
 
 	return `${page.slice(0, start + tableStart.length)}\n\n${table}\n\n${page.slice(end)}`;
 };
 
-const run = async (options: z.output<typeof schema>, tell: (line: string) => void): Promise<Report> => {
+const run = async (options: z.output<typeof schema>, printLine: (line: string) => void): Promise<Report> => {
 	if (globalThis.gc === undefined) {
-		tell('without --expose-gc the memory of claims is an upper bound');
+		printLine('without --expose-gc, the measured memory of claims is only an upper bound');
 	}
 
 	const slopes = [...await measureCoreSlopes(), ...await measureSocketSlopes()];
 	const table = formatSlopes(slopes);
-	tell(table);
+	printLine(table);
 	mkdirSync(`${root}reports`, {recursive: true});
 	writeFileSync(`${root}reports/slopes.md`, `${table}\n`);
 	if (options.writePage) {
-		writeFileSync(pageName, replaceTable(readFileSync(pageName, 'utf8'), table));
+		writeFileSync(pageFile, replaceTable(readFileSync(pageFile, 'utf8'), table));
 	}
 
 	return {experiment: 'slopes', seed: options.seed, slopes};
--- a/scripts/measure/src/soak.ts
+++ b/scripts/measure/src/soak.ts
@@ -1,4 +1,4 @@
-/** Repeats the experiments that break things, seed after seed, for some minutes; fails when a promise was broken. */
+/** Repeats the fault injection experiments with increasing seeds for a number of minutes; exits with 1 if a guarantee was violated or a run failed. */
 import process from 'node:process';
 import {parseArgs} from 'node:util';
 import {type Report} from './experiment.js';
@@ -6,32 +6,32 @@
 
 const millisecondsPerMinute = 60_000;
 
-/** Figures that must be 0 in the report of each experiment. */
-const mustBeZero: Readonly<Record<string, readonly string[]>> = {
+/** Figures of each experiment's report that must be 0. */
+const zeroFigures: Readonly<Record<string, readonly string[]>> = {
 	history: ['violations'],
 	reclaim: ['lost', 'executionsMoreThanOnce', 'lateArrivals'],
 	claims: ['executionsMoreThanOnce'],
 	configuration: ['versionsReverted'],
 };
 
-const findBroken = (name: string, report: Report): string[] =>
-	(mustBeZero[name] ?? []).filter(figure => report[figure] !== 0);
+const findNonZeroFigures = (name: string, report: Report): string[] =>
+	(zeroFigures[name] ?? []).filter(figure => report[figure] !== 0);
 
-const tell = (line: string): void => {
+const printLine = (line: string): void => {
 	process.stdout.write(`${line}\n`);
 };
 
-/** The report; undefined when the run did not come to its end, which is told with its seed so that it can be repeated. */
-const runQuietly = async (name: string, seed: number): Promise<Report | undefined> => {
+/** Runs an experiment and returns its report. If the run fails, prints the error with the seed, so that it can be repeated, and returns undefined. */
+const runWithoutProgress = async (name: string, seed: number): Promise<Report | undefined> => {
 	try {
 		return await runExperiment(name, seed, line => {
-			// Of what an experiment tells on its way, only what was broken is of interest.
+			// Progress lines are omitted, except for violations.
 			if (line.startsWith('BROKEN')) {
-				tell(line);
+				printLine(line);
 			}
 		});
 	} catch (error) {
-		tell(`seed ${seed} ${name}: NOT RUN TO ITS END, ${error instanceof Error ? error.stack ?? error.message : String(error)}`);
+		printLine(`seed ${seed} ${name}: RUN FAILED, ${error instanceof Error ? error.stack ?? error.message : String(error)}`);
 		return undefined;
 	}
 };
@@ -39,7 +39,7 @@
 const readNumber = (name: string, text: string): number => {
 	const value = Number(text);
 	if (!Number.isFinite(value) || value <= 0) {
-		process.stderr.write(`--${name}: expected a number above 0, found ${text}\n`);
+		process.stderr.write(`--${name}: expected a number greater than 0, found ${text}\n`);
 		process.exit(2);
 	}
 
@@ -47,25 +47,25 @@
 };
 
 const run = async (firstSeed: number, minutes: number): Promise<number> => {
-	const endAt = Date.now() + (minutes * millisecondsPerMinute);
+	const endsAt = Date.now() + (minutes * millisecondsPerMinute);
 	let runs = 0;
-	for (let seed = firstSeed; Date.now() < endAt; seed++) {
-		for (const name of Object.keys(mustBeZero)) {
-			const report = await runQuietly(name, seed); // eslint-disable-line no-await-in-loop -- one after the other
+	for (let seed = firstSeed; Date.now() < endsAt; seed++) {
+		for (const name of Object.keys(zeroFigures)) {
+			const report = await runWithoutProgress(name, seed); // eslint-disable-line no-await-in-loop -- experiments are sequential
 			if (report === undefined) {
 				return 1;
 			}
 
-			const broken = findBroken(name, report);
+			const violated = findNonZeroFigures(name, report);
 			runs++;
-			tell(`seed ${seed} ${name}: ${broken.length === 0 ? 'held' : `BROKEN ${JSON.stringify(broken)} ${JSON.stringify(report)}`}`);
-			if (broken.length > 0) {
+			printLine(`seed ${seed} ${name}: ${violated.length === 0 ? 'held' : `BROKEN ${JSON.stringify(violated)} ${JSON.stringify(report)}`}`);
+			if (violated.length > 0) {
 				return 1;
 			}
 		}
 	}
 
-	tell(JSON.stringify({soak: 'held', firstSeed, runs}));
+	printLine(JSON.stringify({soak: 'held', firstSeed, runs}));
 	return 0;
 };
 
--- a/scripts/measure/src/worker-host.ts
+++ b/scripts/measure/src/worker-host.ts
@@ -1,7 +1,4 @@
-/**
- * Runs a daemon or stand-ins in a thread of its own, so that a measurement does
- * not make them share one event loop with the load.
- */
+/** Runs a daemon or stand-ins in a worker thread, so that they do not share an event loop with the load generator. */
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {type AddressInfo} from 'node:net';
 import process from 'node:process';
@@ -28,11 +25,11 @@
 	readonly address: string;
 	readonly admin: string | undefined;
 	readonly peers: string | undefined;
-	/** Addresses of hosted platform stand-ins, by name. */
+	/** URLs of the hosted platform stand-ins, by name. */
 	readonly addresses: Readonly<Record<string, string>>;
-	/** Passes a request to what the worker hosts and gives its answer. */
+	/** Sends a request to the worker and resolves to its response. */
 	readonly control: (request: ControlRequest) => Promise<unknown>;
-	/** Processor seconds of the thread's event loop that were busy, and its heap. */
+	/** Reads the time that the thread's event loop was active, and the size of the used heap. */
 	readonly readUsage: () => Promise<WorkerUsage>;
 	readonly close: () => Promise<void>;
 };
@@ -53,7 +50,7 @@
 	| {readonly kind: 'usage'}
 	| {readonly kind: 'fault'; readonly target: 'log' | 'service'; readonly fault: Fault}
 	| {readonly kind: 'count_appends'}
-	/** How often each body was executed by the hosted service. */
+	/** Counts the executions of each request body by the hosted service. */
 	| {readonly kind: 'count_executions'};
 
 type Control = (request: ControlRequest) => unknown;
@@ -64,18 +61,18 @@
 		worker.once('message', resolve);
 		worker.once('error', reject);
 	});
-	// One request at a time, so that answers cannot be mixed up.
-	let last: Promise<unknown> = Promise.resolve();
+	// Responses carry no id, so only one request may be pending at a time.
+	let lastRequest: Promise<unknown> = Promise.resolve();
 	const control = async (request: ControlRequest): Promise<unknown> => {
-		const before = last;
+		const previousRequest = lastRequest;
 		const answer = (async () => {
-			await before;
+			await previousRequest;
 			return new Promise<unknown>(resolve => {
 				worker.once('message', resolve);
 				worker.postMessage(request);
 			});
 		})();
-		last = answer;
+		lastRequest = answer;
 		return answer;
 	};
 
@@ -92,11 +89,11 @@
 	};
 };
 
-/** The least that any daemon in between can do: Node's server and a client, piped together. The floor of the comparison. */
-const startBare = async (target: string): Promise<Ready> => {
+/** Starts a minimal proxy, a Node.js server piped to a client. It is the lower bound for the overhead of any proxy. */
+const startBareProxy = async (target: string): Promise<Ready> => {
 	const dispatcher = new Agent({connections: 2048, pipelining: 1});
 	const server = createServer((incoming, outgoing) => {
-		void pass(incoming, outgoing, target, dispatcher);
+		void proxyRequest(incoming, outgoing, target, dispatcher);
 	});
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
@@ -105,7 +102,7 @@
 	return {address: `127.0.0.1:${port}`};
 };
 
-const pass = async (incoming: IncomingMessage, outgoing: ServerResponse, target: string, dispatcher: Dispatcher): Promise<void> => {
+const proxyRequest = async (incoming: IncomingMessage, outgoing: ServerResponse, target: string, dispatcher: Dispatcher): Promise<void> => {
 	try {
 		const answer = await request(`http://${target}${incoming.url}`, {
 			method: incoming.method as Dispatcher.HttpMethod,
@@ -120,11 +117,11 @@
 	}
 };
 
-const bytesInMb = 1_048_576;
+const bytesPerMb = 1_048_576;
 
-type Hosted = {readonly ready: Ready; readonly control?: Control};
+type HostedJob = {readonly ready: Ready; readonly control?: Control};
 
-const startPlatformHost = async (): Promise<Hosted> => {
+const startPlatformHost = async (): Promise<HostedJob> => {
 	const platform = await startPlatform();
 	const service = await startPlainServiceStandIn();
 	platform.list.put({
@@ -172,12 +169,12 @@
 	};
 };
 
-const startDaemonHost = async (job: WorkerJob & {kind: 'daemon'}): Promise<Hosted> => {
+const startDaemonHost = async (job: WorkerJob & {kind: 'daemon'}): Promise<HostedJob> => {
 	const daemon = await startDaemon({settings: job.settings, configurationText: job.configurationText});
 	return {ready: {address: daemon.callers, admin: daemon.admin, peers: daemon.peers}};
 };
 
-const runJob = async (job: WorkerJob): Promise<Hosted> => {
+const runJob = async (job: WorkerJob): Promise<HostedJob> => {
 	switch (job.kind) {
 		case 'engine': {
 			const engine = await startEngineStandIn({parameters: job.parameters, models: job.models});
@@ -185,7 +182,7 @@
 		}
 
 		case 'bare': {
-			return {ready: await startBare(job.target)};
+			return {ready: await startBareProxy(job.target)};
 		}
 
 		case 'platform': {
@@ -200,7 +197,7 @@
 
 const readUsage = (): WorkerUsage => ({
 	activeMs: performance.eventLoopUtilization().active,
-	heapMb: process.memoryUsage().heapUsed / bytesInMb,
+	heapMb: process.memoryUsage().heapUsed / bytesPerMb,
 });
 
 if (parentPort !== null && (workerData as WorkerJob | undefined)?.kind !== undefined) {
--- a/scripts/measure/src/write-reference.ts
+++ b/scripts/measure/src/write-reference.ts
@@ -1,4 +1,4 @@
-/** Writes the reference pages from the schemas and tables of the code; a test compares what is committed. */
+/** Generates the reference pages from the code's schemas and tables. A test checks that the committed pages are up to date. */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 import {makeReferencePages} from './reference-pages.js';
--- a/scripts/measure/src/zoned-fleet.ts
+++ b/scripts/measure/src/zoned-fleet.ts
@@ -1,4 +1,4 @@
-/** Daemons of three availability zones, each zone behind relays that can cut it from the platform and from the others. */
+/** Starts daemons in several availability zones. Relays can disconnect each zone from the platform and from the other zones. */
 import {type Clock} from '@shallotpass/common/clock.js';
 import {type Daemon} from '@shallotpass/daemon/start-daemon.js';
 import {startRelay, type Relay, type RelayMode} from '@shallotpass/stand-ins/relay.js';
@@ -9,10 +9,11 @@
 export type Zone = {
 	readonly name: string;
 	readonly daemons: Daemon[];
-	/** Between the zone and the platform's log. */
-	readonly toLog: Relay;
-	readonly toList: Relay;
-	/** Between the other zones and this one's daemons. */
+	/** Relay between the zone and the platform's log. */
+	readonly logRelay: Relay;
+	/** Relay between the zone and the platform's instance list. */
+	readonly listRelay: Relay;
+	/** Relays in front of the peer listeners of this zone's daemons. */
 	readonly fromPeers: Relay[];
 	readonly setPlatform: (mode: RelayMode) => void;
 	readonly address: string;
@@ -22,7 +23,7 @@
 	readonly platform: FleetPlatform;
 	readonly zones: readonly Zone[];
 	readonly daemons: readonly Daemon[];
-	/** Cuts the zones off from each other's daemons; none heals all. */
+	/** Isolates the given zones from each other and from all other zones; an empty list reconnects all zones. */
 	readonly separate: (zones: readonly Zone[]) => void;
 	readonly close: () => Promise<void>;
 };
@@ -31,7 +32,7 @@
 	readonly zones: number;
 	readonly daemonsPerZone: number;
 	readonly limits?: Parameters<typeof startMember>[0]['limits'];
-	/** The clock of a daemon; the system's when left out. */
+	/** Makes the clock of a daemon; defaults to the system clock. */
 	readonly makeClock?: (daemonId: string) => Clock;
 };
 
@@ -45,13 +46,13 @@
 	const {platform, index: zoneIndex, seeds} = options;
 	const name = `zone-${zoneIndex + 1}`;
 	const address = `127.0.0.${zoneIndex + 11}`;
-	const toLog = await startRelay(platform.log.address);
-	const toList = await startRelay(platform.list.address);
+	const logRelay = await startRelay(platform.log.address);
+	const listRelay = await startRelay(platform.list.address);
 	const daemons: Daemon[] = [];
 	const fromPeers: Relay[] = [];
 	for (let index = 0; index < options.daemonsPerZone; index++) {
-		/* eslint-disable no-await-in-loop -- each seeds the next */
-		// The relay listens first, since the daemon tells its address to the others.
+		/* eslint-disable no-await-in-loop -- earlier daemons are seeds of the next */
+		// The relay must listen first, because the daemon announces the relay's address to its peers.
 		const relay = await startRelay();
 		fromPeers.push(relay);
 		const daemon = await startMember({
@@ -61,8 +62,8 @@
 			platform,
 			seeds: [...seeds, ...fromPeers.slice(0, index).map(other => other.address)],
 			limits: options.limits,
-			logUrl: toLog.url,
-			instancesUrl: toList.url,
+			logUrl: logRelay.url,
+			instancesUrl: listRelay.url,
 			listenPeers: '127.0.0.1:0',
 			announcePeersAs: relay.address,
 			clock: options.makeClock?.(`${name}-${index}`),
@@ -75,12 +76,12 @@
 	return {
 		name,
 		daemons,
-		toLog,
-		toList,
+		logRelay,
+		listRelay,
 		fromPeers,
 		setPlatform(mode) {
-			toLog.setMode(mode);
-			toList.setMode(mode);
+			logRelay.setMode(mode);
+			listRelay.setMode(mode);
 		},
 		address,
 	};
@@ -91,7 +92,7 @@
 	const zones: Zone[] = [];
 	for (let index = 0; index < options.zones; index++) {
 		const seeds = zones.map(zone => zone.fromPeers[0]!.address);
-		// eslint-disable-next-line no-await-in-loop -- each seeds the next
+		// eslint-disable-next-line no-await-in-loop -- earlier zones are seeds of the next
 		const zone = await startZone({
 			...options, platform, index, seeds,
 		});
@@ -99,15 +100,15 @@
 	}
 
 	const daemons = zones.flatMap(zone => zone.daemons);
-	await waitFor('the daemons know each other', () => daemons.every(daemon => daemon.listMembers().length === daemons.length), 60_000);
+	await waitFor('all daemons know each other', () => daemons.every(daemon => daemon.listMembers().length === daemons.length), 60_000);
 	return {
 		platform,
 		zones,
 		daemons,
-		separate(separated) {
+		separate(isolatedZones) {
 			for (const zone of zones) {
-				const isSeparate = separated.includes(zone);
-				const others = zones.filter(other => other !== zone && (isSeparate || separated.includes(other)));
+				const isIsolated = isolatedZones.includes(zone);
+				const others = zones.filter(other => other !== zone && (isIsolated || isolatedZones.includes(other)));
 				for (const relay of zone.fromPeers) {
 					relay.block(others.map(other => other.address));
 				}
@@ -115,7 +116,7 @@
 		},
 		async close() {
 			await Promise.all(daemons.map(async daemon => daemon.stop()));
-			await Promise.all(zones.flatMap(zone => [zone.toLog, zone.toList, ...zone.fromPeers]).map(async relay => relay.close()));
+			await Promise.all(zones.flatMap(zone => [zone.logRelay, zone.listRelay, ...zone.fromPeers]).map(async relay => relay.close()));
 			await platform.close();
 		},
 	};
