--- a/scripts/bundle-daemon.js
+++ b/scripts/bundle-daemon.js
@@ -1,4 +1,4 @@
-/** Bundles the daemon for the users' platform: a start loads three files instead of hundreds, first what takes callers' connections and then the rest. */
+/** Bundles the daemon for the users' platform, so that startup loads three files instead of hundreds: first the code that accepts connections, then the rest. */
 import process from 'node:process';
 import {build} from 'esbuild';
 
@@ -13,7 +13,7 @@
 	target: 'node20',
 	format: 'esm',
 	minify: true,
-	// Packages that are written for CommonJS ask for Node's own modules by `require`.
+	// CommonJS packages load Node.js built-in modules with `require`, which ES modules do not define.
 	banner: {js: 'import {createRequire} from "node:module"; const require = createRequire(import.meta.url);'},
 	logLevel: 'warning',
 });
