--- a/scripts/measure/src/caller-client.ts
+++ b/scripts/measure/src/caller-client.ts
@@ -30,7 +30,7 @@
 
 type Chunk = {readonly choices?: ReadonlyArray<{readonly delta?: {readonly content?: string}}>};
 
-/** Sends a streamed chat request and checks that each token is the next one expected. The stand-in engine prefixes its tokens with the marker. */
+/** Sends a streamed chat request and checks that each token is the next one expected. The stand-in engine's tokens consist of the marker and a running index. */
 export const askStream = async (options: StreamOptions): Promise<StreamResult> => {
 	const {address, marker, tokens: maxTokens, prompt = '', headers = {}, dispatcher, signal} = options;
 	const startedAt = performance.now();
--- a/scripts/measure/src/history/check-history.ts
+++ b/scripts/measure/src/history/check-history.ts
@@ -25,7 +25,7 @@
 const overlaps = (call: CallEvent, fault: FaultEvent): boolean => fault.from <= call.endedAt && fault.to >= call.sentAt;
 
 /**
- * Whether a call may end without an answer: its daemon died or was itself faulty, or, for a reservation, the outcome may have been lost.
+ * Whether a call may end without an answer: its daemon crashed or had a fault of its own, or, for a reservation, the outcome may have been lost.
  * Streams must survive every fault outside their daemon.
  */
 const isFailureAllowed = (history: History, call: CallEvent): boolean => {
--- a/scripts/measure/src/routing-experiment.ts
+++ b/scripts/measure/src/routing-experiment.ts
@@ -60,13 +60,13 @@
 
 	const summaries = await runInThreads(jobs);
 	const points: Point[] = [];
-	for (let firstJob = 0; firstJob < jobs.length; firstJob += comparedPolicies.length) {
-		const {plan} = jobs[firstJob]!;
+	for (let firstIndex = 0; firstIndex < jobs.length; firstIndex += comparedPolicies.length) {
+		const {plan} = jobs[firstIndex]!;
 		points.push({
 			deployment: plan.deployment.name,
 			load: plan.load,
 			isReclaimed: plan.isReclaimed,
-			policies: comparedPolicies.map(({name}, index) => ({policy: name, ...summaries[firstJob + index]!})),
+			policies: comparedPolicies.map(({name}, index) => ({policy: name, ...summaries[firstIndex + index]!})),
 		});
 	}
 
--- a/scripts/measure/src/zoned-fleet.ts
+++ b/scripts/measure/src/zoned-fleet.ts
@@ -15,7 +15,9 @@
 	readonly listRelay: Relay;
 	/** Relays in front of the peer listeners of this zone's daemons. */
 	readonly fromPeers: Relay[];
+	/** Sets the mode of the relays to the platform's log and instance list. */
 	readonly setPlatform: (mode: RelayMode) => void;
+	/** Loopback IP address of the zone's daemons, by which relays recognize their connections. */
 	readonly address: string;
 };
 
