--- a/apps/daemon/src/demand-meter.ts
+++ b/apps/daemon/src/demand-meter.ts
@@ -4,7 +4,7 @@
 import {forecastDemand, smoothDemand, type SmoothedDemand} from '@shallotpass/core/fleet/smooth-demand.js';
 import {type Offer} from '@shallotpass/core/fleet/types.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
-import {type FleetDemand} from '@shallotpass/tasks/fleet-duty.js';
+import {type FleetDemand} from '@shallotpass/tasks/fleet-scaler.js';
 import {type ActiveConfigurations} from '@shallotpass/tasks/active-configurations.js';
 
 type DemandMeterOptions = {
@@ -34,7 +34,7 @@
 		]);
 
 /** Returns the places that the engine's machine class offers, or the engine's limit if no offer has that class. */
-const countPlaces = (engine: BackendView, offers: readonly Offer[]): number =>
+const countSlots = (engine: BackendView, offers: readonly Offer[]): number =>
 	offers.find(offer => offer.machineClass === engine.machineClass)?.places ?? engine.limit;
 
 export const makeDemandMeter = ({clock, getActiveConfigurations, listEngines, countWaiting}: DemandMeterOptions) => {
@@ -42,14 +42,14 @@
 	return (instances: readonly CloudInstance[]): FleetDemand => {
 		const startedIds = new Set(instances.map(instance => instance.id));
 		const offers = listOffers(getActiveConfigurations());
-		let fixedPlaces = 0;
+		let fixedSlots = 0;
 		let usedPlaces = countWaiting();
 		for (const engine of listEngines()) {
 			usedPlaces += (engine.report?.running ?? engine.running) + (engine.report?.queued ?? 0);
-			fixedPlaces += startedIds.has(engine.id) || engine.isLeaving ? 0 : countPlaces(engine, offers);
+			fixedSlots += startedIds.has(engine.id) || engine.isLeaving ? 0 : countSlots(engine, offers);
 		}
 
 		smoothed = smoothDemand(smoothed, usedPlaces, clock.now(), smoothing);
-		return {offers, fixedPlaces, demandPlaces: forecastDemand(smoothed, engineStartMs)};
+		return {offers, fixedSlots, demandSlots: forecastDemand(smoothed, engineStartMs)};
 	};
 };
--- a/apps/daemon/src/follow-platform.ts
+++ b/apps/daemon/src/follow-platform.ts
@@ -51,7 +51,7 @@
 
 			registry.applyLeavingNotice(instanceId, leavesAt);
 		},
-		onOutage(error) {
+		onError(error) {
 			logger.debug('cloud_unreachable', {error});
 		},
 	});
--- a/apps/daemon/src/make-peer-handlers.ts
+++ b/apps/daemon/src/make-peer-handlers.ts
@@ -30,7 +30,7 @@
 		versions: Object.fromEntries([...configuration.getActiveConfigurations().teams.values()].map(({team, version}) => [team, version as number])),
 	}),
 	async claim({claim, isNew, traceparent}, from) {
-		const hop = tracing.startHop('claim', traceparent, {from});
+		const hop = tracing.startSpan('claim', traceparent, {from});
 		try {
 			return await claims.answerPeer(claim, isNew);
 		} finally {
--- a/apps/daemon/src/peer-messenger.ts
+++ b/apps/daemon/src/peer-messenger.ts
@@ -50,7 +50,7 @@
 
 	const exchangeVersions = async (address: string, onVersions: (versions: PeerVersions) => void): Promise<void> => {
 		try {
-			const {versions} = await client.ask(address, 'probe', {
+			const {versions} = await client.call(address, 'probe', {
 				updates: [membership.getSelf()], versions: getVersions(), wantsIntroduction: false,
 			}, makeDeadline());
 			onVersions({address, versions});
@@ -63,7 +63,7 @@
 	const sendToAll = async <Method extends 'suspects' | 'leaving'>(method: Method, parameters: PeerParameters<Method>): Promise<void> => {
 		await Promise.all(membership.listPeers().map(async ({address}) => {
 			try {
-				await client.ask(address, method, parameters, makeDeadline());
+				await client.call(address, method, parameters, makeDeadline());
 			} catch (error) {
 				logger.debug('peer_not_told', {method, address, error});
 			}
@@ -72,7 +72,7 @@
 
 	const fetchStatus = async ({id, availabilityZone, address}: Member): Promise<PeerStatus> => {
 		try {
-			const {versions} = await client.ask(address, 'status', {}, makeDeadline());
+			const {versions} = await client.call(address, 'status', {}, makeDeadline());
 			return {id, availabilityZone, versions};
 		} catch {
 			return {id, availabilityZone, versions: undefined};
--- a/apps/daemon/src/start-daemon.ts
+++ b/apps/daemon/src/start-daemon.ts
@@ -1,7 +1,7 @@
 /** Creates and connects the tasks of one daemon. Several daemons can run in one process. */
 import {setMaxListeners} from 'node:events';
-import {systemClock, waitQuietly, type Clock} from '@shallotpass/common/clock.js';
-import {configurationStream, keyMemoryMs} from '@shallotpass/common/constants.js';
+import {systemClock, waitUntilOrAborted, type Clock} from '@shallotpass/common/clock.js';
+import {configurationStream, idempotencyKeyRetentionMs} from '@shallotpass/common/constants.js';
 import {type ConfigurationRecord} from '@shallotpass/common/log-records.js';
 import {type Settings} from '@shallotpass/common/settings-schema.js';
 import {addMilliseconds, type Deadline, noConfigurationVersion} from '@shallotpass/common/types.js';
@@ -26,7 +26,7 @@
 import {makeLogger} from '@shallotpass/telemetry/logger.js';
 import {makeMetrics} from '@shallotpass/telemetry/metrics.js';
 import {startTracing} from '@shallotpass/telemetry/tracing.js';
-import {defaultFleetTiming, runFleetDuty} from '@shallotpass/tasks/fleet-duty.js';
+import {defaultFleetTiming, runFleetScaler} from '@shallotpass/tasks/fleet-scaler.js';
 import {followPlatform} from './follow-platform.js';
 import {makePeerHandlers} from './make-peer-handlers.js';
 import {makePeerMessenger, peerTimeoutMs} from './peer-messenger.js';
@@ -56,7 +56,7 @@
 	/** Initial configuration of a daemon without a platform. */
 	readonly configurationText?: string;
 	/** Address that is announced to peers, if it differs from the listener's. */
-	readonly announcePeersAs?: string;
+	readonly announcedPeersAddress?: string;
 	/** Called when an operator requests a drain or the cloud reclaims the instance. */
 	readonly onDrainRequested?: () => void;
 };
@@ -75,8 +75,8 @@
 /** Throws unless the log keeps records longer than the key memory that callers are promised. A shorter retention would break this promise without an error. */
 const checkRetention = (settings: Settings): void => {
 	const retentionMs = (settings.platform?.logRetentionHours ?? Number.POSITIVE_INFINITY) * msPerHour;
-	if (retentionMs <= keyMemoryMs) {
-		throw new RangeError(`platform.log_retention_hours: expected more than the key memory of ${keyMemoryMs / msPerHour} hours, found ${settings.platform!.logRetentionHours}`);
+	if (retentionMs <= idempotencyKeyRetentionMs) {
+		throw new RangeError(`platform.log_retention_hours: expected more than the key memory of ${idempotencyKeyRetentionMs / msPerHour} hours, found ${settings.platform!.logRetentionHours}`);
 	}
 };
 
@@ -89,7 +89,7 @@
 
 /** Measured on two deployments (docs/design/fleet.md). An instance runs for at least an hour, because its cache is worth more than what a short stop saves. */
 const fleetPlannerOptions = {
-	headroom: 1.3, peakReserve: 6, minPlaces: 1, minRuntimeMs: 3_600_000,
+	headroom: 1.3, peakReserve: 6, minSlots: 1, minRuntimeMs: 3_600_000,
 };
 
 export const startDaemon = async (options: DaemonOptions): Promise<Daemon> => {
@@ -151,7 +151,7 @@
 		environment,
 		log: platform.log,
 		async fetchOffer(address) {
-			const offer = await client.ask(address, 'offer', {}, addMilliseconds(clock.now(), peerTimeoutMs));
+			const offer = await client.call(address, 'offer', {}, addMilliseconds(clock.now(), peerTimeoutMs));
 			// The wire format has plain numbers for offsets and versions.
 			return offer as unknown as ConfigurationOffer;
 		},
@@ -248,7 +248,7 @@
 		isDraining = true;
 		logger.info('drain_began', {inFlight: callerListener.countInFlight()});
 		membership.announceLeaving();
-		await waitQuietly(clock, addMilliseconds(clock.now(), drainDelayMs), stopController.signal);
+		await waitUntilOrAborted(clock, addMilliseconds(clock.now(), drainDelayMs), stopController.signal);
 		callerListener.startDraining();
 		await callerListener.waitUntilIdle();
 		await claims.waitForPendingOutcomes();
@@ -264,7 +264,7 @@
 	const isModelService = (serviceId: string): boolean => [...configuration.getActiveConfigurations().teams.values()].some(({team, configuration: teamConfiguration}) =>
 		teamConfiguration.service.some(service => service.kind === 'model' && makeServiceId(team, service.name) === serviceId));
 
-	membership.start(options.announcePeersAs ?? makeAnnouncedAddress(settings, peerServer.address));
+	membership.start(options.announcedPeersAddress ?? makeAnnouncedAddress(settings, peerServer.address));
 	void runLoadReports({
 		environment,
 		registry,
@@ -293,7 +293,7 @@
 	};
 	if (platform.cloud !== undefined) {
 		const hasOffers = (): boolean => listOffers(configuration.getActiveConfigurations()).length > 0;
-		void runFleetDuty({...fleetOptions, cloud: platform.cloud}, () => !isDraining && hasOffers() && listZoneReaders().includes(settings.instance.id));
+		void runFleetScaler({...fleetOptions, cloud: platform.cloud}, () => !isDraining && hasOffers() && listZoneReaders().includes(settings.instance.id));
 	}
 
 	followPlatform({
--- a/apps/daemon/src/watch-settings.ts
+++ b/apps/daemon/src/watch-settings.ts
@@ -1,7 +1,7 @@
 /** Detects changes to the settings file. The platform may send SIGHUP after a change, but does not have to. */
 import {readFileSync} from 'node:fs';
 import {setTimeout as sleep} from 'node:timers/promises';
-import {type FileMistake, type FileReading} from '@shallotpass/common/toml-file.js';
+import {type FileMistake, type FileReadResult} from '@shallotpass/common/toml-file.js';
 
 /** At the start, an invalid file is read again until this timeout, because the platform may still be writing it. */
 const initialReadTimeoutMs = 3000;
@@ -12,7 +12,7 @@
 
 export type SettingsWatchOptions<Settings> = {
 	readonly path: string;
-	readonly read: (text: string) => FileReading<Settings>;
+	readonly read: (text: string) => FileReadResult<Settings>;
 	readonly onChange: (settings: Settings) => void;
 	/** Called when the file cannot be read or is invalid. The previous settings stay in force. */
 	readonly onInvalid: (mistakes: readonly FileMistake[]) => void;
@@ -24,7 +24,7 @@
 	readonly stop: () => void;
 };
 
-const readFile = <Settings>(path: string, read: (text: string) => FileReading<Settings>): FileReading<Settings> => {
+const readFile = <Settings>(path: string, read: (text: string) => FileReadResult<Settings>): FileReadResult<Settings> => {
 	try {
 		return read(readFileSync(path, 'utf8'));
 	} catch (error) {
--- a/packages/backends/src/call-plain.ts
+++ b/packages/backends/src/call-plain.ts
@@ -19,7 +19,7 @@
 	readonly signal: AbortSignal;
 };
 
-export type PlainAnswer = {
+export type PlainResponse = {
 	readonly status: number;
 	readonly fields: readonly HttpField[];
 	readonly body: Readable;
@@ -60,7 +60,7 @@
 	}
 };
 
-export const callPlain = async (call: PlainCall, connections: BackendConnections): Promise<PlainAnswer> => {
+export const callPlain = async (call: PlainCall, connections: BackendConnections): Promise<PlainResponse> => {
 	const singleUse: Client | undefined = call.isRepeatable ? undefined : connections.openSingleUse(call.address);
 	const dispatcher = singleUse ?? connections.shared;
 	try {
--- a/packages/backends/src/collect-chunks.ts
+++ b/packages/backends/src/collect-chunks.ts
@@ -14,7 +14,7 @@
 	readonly isFinished: boolean;
 };
 
-export const startOfStream: StreamPosition = {
+export const initialStreamPosition: StreamPosition = {
 	id: undefined, tokens: 0, hasStarted: false, isFinished: false,
 };
 
--- a/packages/backends/src/engine-load.ts
+++ b/packages/backends/src/engine-load.ts
@@ -23,7 +23,7 @@
 };
 
 /** Whether the backend server responds to a request on a new connection. */
-export const isAnswering = async (address: string, signal: AbortSignal): Promise<boolean> => {
+export const isResponding = async (address: string, signal: AbortSignal): Promise<boolean> => {
 	const client = new Client(`http://${address}`, {connect: {timeout: requestTimeoutMs}});
 	try {
 		const response = await client.request({
--- a/packages/backends/src/engine-stream.ts
+++ b/packages/backends/src/engine-stream.ts
@@ -26,9 +26,9 @@
 /** Receiver of the stream, with backpressure. */
 export type StreamSink = {
 	/** Returns false if its buffer is full. */
-	readonly take: (batch: StreamBatch) => boolean;
+	readonly write: (batch: StreamBatch) => boolean;
 	/** Resolves when the buffer has drained or the receiver is gone. */
-	readonly waitForRoom: () => Promise<void>;
+	readonly waitForDrain: () => Promise<void>;
 };
 
 /** An engine that sends more than this without completing an event is not sending valid SSE. */
@@ -151,12 +151,12 @@
 
 	const pauseUntilDrained = async (): Promise<void> => {
 		controller?.pause();
-		await sink.waitForRoom();
+		await sink.waitForDrain();
 		controller?.resume();
 	};
 
 	const forwardBatch = (batch: StreamBatch): void => {
-		if (batch.text !== '' && !sink.take(batch) && !batch.isDone) {
+		if (batch.text !== '' && !sink.write(batch) && !batch.isDone) {
 			void pauseUntilDrained();
 		}
 
--- a/packages/backends/src/fetch-whole.ts
+++ b/packages/backends/src/fetch-completion.ts
@@ -14,7 +14,7 @@
 };
 
 /** Throws the same errors as `streamEngine`. */
-export const fetchWhole = async (call: CompletionCall, connections: BackendConnections): Promise<string> => {
+export const fetchCompletion = async (call: CompletionCall, connections: BackendConnections): Promise<string> => {
 	let status: number;
 	let text: string;
 	let echoedRequestId: string | string[] | undefined;
--- a/packages/callers/src/admission-gate.ts
+++ b/packages/callers/src/admission-gate.ts
@@ -1,5 +1,5 @@
 /** Admits requests: enforces the rate limits of client accounts, then queues requests per service up to a maximum length. */
-import {waitQuietly} from '@shallotpass/common/clock.js';
+import {waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {type Account} from '@shallotpass/common/configuration-schema.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
@@ -22,7 +22,7 @@
 	readonly serviceId: string;
 	readonly rank: number;
 	/** Whether the request's class has no latency target, so that the request uses only spare capacity. */
-	readonly isPatient: boolean;
+	readonly isBackground: boolean;
 	/** Latency target of the request's class for the first token. */
 	readonly firstTokenMs: number | undefined;
 	/** Expected cost in tokens, 1 for plain services. */
@@ -177,7 +177,7 @@
 
 		isChecking = true;
 		while (countWaiting() > 0 && !environment.signal.aborted) {
-			await waitQuietly(clock, addMilliseconds(clock.now(), checkIntervalMs), environment.signal); // eslint-disable-line no-await-in-loop -- checks run one at a time
+			await waitUntilOrAborted(clock, addMilliseconds(clock.now(), checkIntervalMs), environment.signal); // eslint-disable-line no-await-in-loop -- checks run one at a time
 			checkQueues();
 		}
 
@@ -206,10 +206,10 @@
 			},
 		});
 		const {
-			id, account, rank, work, deadline, isPatient, firstTokenMs,
+			id, account, rank, work, deadline, isBackground, firstTokenMs,
 		} = request;
 		const displaced = enqueueRequest(serviceQueue.queue, {
-			id, account: `${request.team}/${account.name}`, share: account.share, rank, work, waitingSince: clock.now(), deadline, isBackground: isPatient, startBy: firstTokenMs === undefined ? undefined : clock.now() + (firstTokenMs * maxWaitingShare),
+			id, account: `${request.team}/${account.name}`, share: account.share, rank, work, waitingSince: clock.now(), deadline, isBackground, startBy: firstTokenMs === undefined ? undefined : clock.now() + (firstTokenMs * maxWaitingShare),
 		}, settings.limits.maxWaiting);
 		if (displaced !== undefined) {
 			rejectWaiter(serviceQueue, displaced.id, new ServingError('too many requests wait already', {kind: 'over_capacity', retryAt: addMilliseconds(clock.now(), retryAfterMs)}));
@@ -241,7 +241,7 @@
 				throw new ServingError('no backend server serves this now', {kind: 'no_backend', retryAt: addMilliseconds(clock.now(), retryAfterMs)});
 			}
 
-			if (serviceQueue.queue.entries.length === 0 && hasCapacity(serviceQueue.running, getCapacity(request.serviceId), request.isPatient)) {
+			if (serviceQueue.queue.entries.length === 0 && hasCapacity(serviceQueue.running, getCapacity(request.serviceId), request.isBackground)) {
 				serviceQueue.running++;
 			} else {
 				await waitInQueue(request, serviceQueue);
--- a/packages/callers/src/caller-call.ts
+++ b/packages/callers/src/caller-call.ts
@@ -6,7 +6,7 @@
 import {type Deadline} from '@shallotpass/common/types.js';
 import {type LatencyTarget} from '@shallotpass/core/routing/types.js';
 import {findClass, type TeamAccount, type ActiveConfigurations} from '@shallotpass/tasks/active-configurations.js';
-import {type Hop} from '@shallotpass/telemetry/tracing.js';
+import {type TraceSpan} from '@shallotpass/telemetry/tracing.js';
 
 export type CallerCall = {
 	readonly request: IncomingMessage;
@@ -14,7 +14,7 @@
 	readonly requestId: string;
 	readonly url: URL;
 	/** Trace span of the whole call. */
-	readonly hop: Hop;
+	readonly hop: TraceSpan;
 	readonly startedAt: number;
 	/** Aborted when the caller disconnects before the response is complete. */
 	readonly callerGoneSignal: AbortSignal;
--- a/packages/callers/src/choose-engine.ts
+++ b/packages/callers/src/choose-engine.ts
@@ -26,7 +26,7 @@
  */
 export const chooseEngine = (context: ChatContext, progress: ChatProgress, avoided: ReadonlySet<string>): BackendView => {
 	const {registry, environment} = context.services;
-	const hop = context.call.hop.makeChild('routing');
+	const hop = context.call.hop.startChild('routing');
 	const routedCall = makeRoutedCall(context, progress, avoided);
 	let chosen = registry.choose(routedCall);
 	if (chosen === undefined && progress.excluded.size > 0 && avoided.size === 0) {
--- a/packages/callers/src/listener.ts
+++ b/packages/callers/src/listener.ts
@@ -168,7 +168,7 @@
 		response.on('error', () => {/* the caller has disconnected */});
 		try {
 			const url = parseUrl(request);
-			const hop = tracing.startHop('caller', getHeader(request, 'traceparent'), {method: request.method ?? '', path: url.pathname, requestId});
+			const hop = tracing.startSpan('caller', getHeader(request, 'traceparent'), {method: request.method ?? '', path: url.pathname, requestId});
 			void serve({
 				request, response, requestId, url, hop, startedAt: clock.now(), callerGoneSignal: callerGone.signal, execution: {mayHaveRun: false},
 			});
--- a/packages/callers/src/plain-call.ts
+++ b/packages/callers/src/plain-call.ts
@@ -1,9 +1,9 @@
 /** Shared steps of calls to plain services, for repeatable and non-repeatable calls. */
 import {type Service} from '@shallotpass/common/configuration-schema.js';
-import {defaultCallMs} from '@shallotpass/common/constants.js';
+import {defaultCallTimeoutMs} from '@shallotpass/common/constants.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
-import {BackendCallError, type PlainAnswer} from '@shallotpass/backends/call-plain.js';
+import {BackendCallError, type PlainResponse} from '@shallotpass/backends/call-plain.js';
 import {filterRequestFields, readRawFields, type HttpField} from '@shallotpass/backends/http-fields.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
 import {findService, makeServiceId, type TeamAccount} from '@shallotpass/tasks/active-configurations.js';
@@ -61,13 +61,13 @@
 		method: call.request.method ?? 'GET',
 		path: `${prefix}${rest}${call.url.search}`,
 		fields: filterRequestFields(readRawFields(call.request.rawHeaders)),
-		deadline: readDeadline(call.request, now) ?? addMilliseconds(now, defaultCallMs),
+		deadline: readDeadline(call.request, now) ?? addMilliseconds(now, defaultCallTimeoutMs),
 	};
 };
 
 /** Waits until the call is admitted. Returns a function that releases its slot. */
 export const admitCall = async (context: PlainCallContext): Promise<() => void> => {
-	const hop = context.call.hop.makeChild('admission');
+	const hop = context.call.hop.startChild('admission');
 	try {
 		return await context.services.gate.admit({
 			id: context.call.requestId,
@@ -75,7 +75,7 @@
 			account: context.account.account,
 			serviceId: context.serviceId,
 			rank: context.callClass.rank,
-			isPatient: isBackgroundClass(context.callClass),
+			isBackground: isBackgroundClass(context.callClass),
 			firstTokenMs: context.callClass.latency?.firstTokenMs,
 			work: 1,
 			deadline: context.deadline,
@@ -89,7 +89,7 @@
 /** Selects a backend server that is not excluded; undefined if none is available. */
 export const choosePlainBackend = (context: PlainCallContext, excluded: ReadonlySet<string>): BackendView | undefined => {
 	const {registry, environment} = context.services;
-	const hop = context.call.hop.makeChild('routing');
+	const hop = context.call.hop.startChild('routing');
 	const chosen = registry.choose({
 		service: context.serviceId,
 		promptTokens: 0,
@@ -115,7 +115,7 @@
 /** Runs one call to one backend server and records its load, metrics and trace span. Rethrows errors from `send`. */
 export const runAtBackend = async <Result>({context, backend, attemptSignal, send}: BackendRun<Result>): Promise<Result> => {
 	const {registry, environment} = context.services;
-	const hop = context.call.hop.makeChild('backend', {backend: backend.id});
+	const hop = context.call.hop.startChild('backend', {backend: backend.id});
 	registry.begin(backend.id);
 	let failure: unknown;
 	try {
@@ -151,7 +151,7 @@
 	requestId,
 ];
 
-export const writeResponseHead = (context: PlainCallContext, answer: Pick<PlainAnswer, 'status' | 'fields'>): void => {
+export const writeResponseHead = (context: PlainCallContext, answer: Pick<PlainResponse, 'status' | 'fields'>): void => {
 	const {response, requestId} = context.call;
 	response.writeHead(answer.status, makeResponseHeaders(answer.fields, requestId));
 };
--- a/packages/callers/src/relay-response.ts
+++ b/packages/callers/src/relay-response.ts
@@ -1,7 +1,7 @@
 /** Relays an engine's response to the caller, either streamed or as a whole. */
 import {type StreamBatch} from '@shallotpass/backends/collect-chunks.js';
 import {streamEngine} from '@shallotpass/backends/engine-stream.js';
-import {fetchWhole} from '@shallotpass/backends/fetch-whole.js';
+import {fetchCompletion} from '@shallotpass/backends/fetch-completion.js';
 import {getExpectedTokens} from '@shallotpass/backends/openai-format.js';
 import {isLate} from '@shallotpass/core/routing/speed-estimate.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
@@ -97,7 +97,7 @@
 		signal: attemptSignal.signal,
 	};
 	await streamEngine(engineCall, connections, {
-		take(batch) {
+		write(batch) {
 			attemptSignal.resetQuietTimer();
 			progress.position = batch.position;
 			if (batch.tokens > 0) {
@@ -108,7 +108,7 @@
 
 			return writeBatch(context, batch);
 		},
-		async waitForRoom() {
+		async waitForDrain() {
 			isCallerSlow = true;
 			await waitForDrain(context, attemptSignal.signal);
 			attemptSignal.resetQuietTimer();
@@ -123,7 +123,7 @@
 export const relayWhole = async (context: ChatContext, progress: ChatProgress, {engine, attemptSignal, traceparent}: Attempt): Promise<void> => {
 	const {environment, connections} = context.services;
 	const startedAt = environment.clock.now();
-	const text = await fetchWhole({
+	const text = await fetchCompletion({
 		address: engine.address,
 		body: context.chat,
 		priority: context.callClass.rank,
--- a/packages/callers/src/respond.ts
+++ b/packages/callers/src/respond.ts
@@ -2,7 +2,7 @@
 import {STATUS_CODES, type ServerResponse} from 'node:http';
 import {type Duplex} from 'node:stream';
 import {Buffer} from 'node:buffer';
-import {type ErrorKind, errorAnswers} from '@shallotpass/common/error-kinds.js';
+import {type ErrorKind, errorResponses} from '@shallotpass/common/error-kinds.js';
 import {computeRetryAfterSeconds, makeProblem} from '@shallotpass/common/problem.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 
@@ -53,14 +53,14 @@
 	}
 
 	const text = JSON.stringify(makeProblem(new ServingError(detail, {kind}), requestId));
-	const {status} = errorAnswers[kind];
+	const {status} = errorResponses[kind];
 	socket.end([
 		`HTTP/1.1 ${status} ${STATUS_CODES[status] ?? 'Error'}`,
 		'Content-Type: application/problem+json',
 		`Content-Length: ${Buffer.byteLength(text)}`,
 		`X-Request-Id: ${requestId}`,
 		'Connection: close',
-		...(errorAnswers[kind].status === unavailableStatus ? [`Retry-After: ${rawRetryAfterSeconds}`] : []),
+		...(errorResponses[kind].status === unavailableStatus ? [`Retry-After: ${rawRetryAfterSeconds}`] : []),
 		'',
 		text,
 	].join('\r\n'));
--- a/packages/callers/src/try-engine.ts
+++ b/packages/callers/src/run-engine-attempt.ts
@@ -2,7 +2,7 @@
 import {ServingError, toServingError} from '@shallotpass/common/serving-error.js';
 import {BackendCallError} from '@shallotpass/backends/call-plain.js';
 import {cancelRequest} from '@shallotpass/backends/cancel-request.js';
-import {isAnswering} from '@shallotpass/backends/engine-load.js';
+import {isResponding} from '@shallotpass/backends/engine-load.js';
 import {EngineRefusal} from '@shallotpass/backends/engine-stream.js';
 import {blockCharacters, estimateTokens} from '@shallotpass/core/routing/hash-prompt.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
@@ -24,7 +24,7 @@
 	}
 
 	// If a new connection works, the silent one was dropped somewhere on the network path and the engine is still usable.
-	const isAlive = await isAnswering(engine.address, environment.signal);
+	const isAlive = await isResponding(engine.address, environment.signal);
 	if (!isAlive) {
 		context.services.registry.avoid(engine.id);
 	}
@@ -100,13 +100,13 @@
 		quietTimeoutMs: isStream ? environment.settings.limits.quietStreamMs : undefined,
 		onQuiet: async () => isQuietFailure(context, engine, progress, startedAt),
 	});
-	const hop = call.hop.makeChild('backend', {backend: engine.id, try: progress.attempts});
+	const hop = call.hop.startChild('backend', {backend: engine.id, try: progress.attempts});
 	const uncachedTokens = Math.max(0, context.promptTokens - (registry.countCachedBlocks(engine.id, context.prefixHashes) * estimateTokens(blockCharacters)));
 	let isPrefilled = false;
 	const markPrefilled = (): void => {
 		if (!isPrefilled) {
 			isPrefilled = true;
-			registry.recordPromptProcessed(engine.id, uncachedTokens);
+			registry.recordPromptPrefilled(engine.id, uncachedTokens);
 		}
 	};
 
--- a/packages/callers/src/try-suspect.ts
+++ b/packages/callers/src/run-suspect-attempt.ts
@@ -2,7 +2,7 @@
  * Runs an attempt of a suspected request, one that was in flight when a backend server crashed. It runs on an
  * engine without other suspects, and only one daemon runs it.
  */
-import {waitQuietly} from '@shallotpass/common/clock.js';
+import {waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {hasPassedCrashPosition} from '@shallotpass/core/retries/suspects.js';
@@ -11,7 +11,7 @@
 import {chooseEngine} from './choose-engine.js';
 import {acquireProbation, type Probation} from './probation.js';
 import {type SecondRun} from './second-run.js';
-import {runEngineAttempt} from './try-engine.js';
+import {runEngineAttempt} from './run-engine-attempt.js';
 
 type ReservedEngine = {
 	readonly engine: BackendView;
@@ -62,7 +62,7 @@
 			}
 
 			unavailable = new Set();
-			await waitQuietly(clock, addMilliseconds(clock.now(), pollIntervalMs), context.call.callerGoneSignal); // eslint-disable-line no-await-in-loop -- polls until an engine is free
+			await waitUntilOrAborted(clock, addMilliseconds(clock.now(), pollIntervalMs), context.call.callerGoneSignal); // eslint-disable-line no-await-in-loop -- polls until an engine is free
 			continue;
 		}
 
--- a/packages/callers/src/second-run.ts
+++ b/packages/callers/src/second-run.ts
@@ -4,13 +4,13 @@
  * servers therefore crash because of the request, no matter how often and where the caller sends it.
  */
 import {randomUUID} from 'node:crypto';
-import {keyMemoryMs} from '@shallotpass/common/constants.js';
+import {idempotencyKeyRetentionMs} from '@shallotpass/common/constants.js';
 import {type Claim} from '@shallotpass/common/log-records.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
-import {waitQuietly} from '@shallotpass/common/clock.js';
+import {waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {makeKeyName} from '@shallotpass/core/claims/claim-state.js';
-import {type ClaimAnswer} from '@shallotpass/peers/peer-methods.js';
+import {type ClaimResult} from '@shallotpass/peers/peer-methods.js';
 import {type CallerServices} from './services.js';
 
 export type SecondRun = {
@@ -56,7 +56,7 @@
  * end every response that it was generating. Repeating the same claim is safe: if an earlier attempt was stored
  * unnoticed, the claim still wins.
  */
-export const claimWithRetries = async (services: CallerServices, claim: Claim, deadline: Deadline, signal: AbortSignal): Promise<ClaimAnswer> => {
+export const claimWithRetries = async (services: CallerServices, claim: Claim, deadline: Deadline, signal: AbortSignal): Promise<ClaimResult> => {
 	const {claims, environment: {clock}} = services;
 	const giveUpAt = Math.min(deadline, addMilliseconds(clock.now(), logOutageTimeoutMs));
 	for (;;) {
@@ -65,7 +65,7 @@
 			return answer;
 		}
 
-		await waitQuietly(clock, addMilliseconds(clock.now(), pollIntervalMs), signal); // eslint-disable-line no-await-in-loop
+		await waitUntilOrAborted(clock, addMilliseconds(clock.now(), pollIntervalMs), signal); // eslint-disable-line no-await-in-loop
 	}
 };
 
@@ -100,7 +100,7 @@
 			}
 
 			case 'running': {
-				await waitQuietly(clock, addMilliseconds(clock.now(), pollIntervalMs), signal); // eslint-disable-line no-await-in-loop
+				await waitUntilOrAborted(clock, addMilliseconds(clock.now(), pollIntervalMs), signal); // eslint-disable-line no-await-in-loop
 				break;
 			}
 
@@ -108,7 +108,7 @@
 			case 'reused': {
 				// Two placeholder ids, because the merge convicts a request with two crashes.
 				suspects.merge([{
-					fingerprint, deaths: ['first', 'second'], isConvicted: true, tokens: 0, forgetAt: clock.now() + keyMemoryMs,
+					fingerprint, deaths: ['first', 'second'], isConvicted: true, tokens: 0, forgetAt: clock.now() + idempotencyKeyRetentionMs,
 				}], []);
 				throw makeQuarantineError();
 			}
--- a/packages/callers/src/serve-chat.ts
+++ b/packages/callers/src/serve-chat.ts
@@ -2,9 +2,9 @@
 import {BackendCallError} from '@shallotpass/backends/call-plain.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {type Service} from '@shallotpass/common/configuration-schema.js';
-import {defaultStreamMs} from '@shallotpass/common/constants.js';
+import {defaultStreamTimeoutMs} from '@shallotpass/common/constants.js';
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
-import {startOfStream} from '@shallotpass/backends/collect-chunks.js';
+import {initialStreamPosition} from '@shallotpass/backends/collect-chunks.js';
 import {
 	chatRequestSchema,
 	getExpectedTokens,
@@ -29,8 +29,8 @@
 import {type RetryBudgets} from './retry-budgets.js';
 import {acquireSecondRun, checkQuarantine} from './second-run.js';
 import {type CallerServices} from './services.js';
-import {describeLastError, runEngineAttempt} from './try-engine.js';
-import {runSuspectAttempt} from './try-suspect.js';
+import {describeLastError, runEngineAttempt} from './run-engine-attempt.js';
+import {runSuspectAttempt} from './run-suspect-attempt.js';
 
 const maxAttempts = 6;
 
@@ -115,7 +115,7 @@
 const respondToChat = async (context: ChatContext): Promise<void> => {
 	const {clock, random} = context.services.environment;
 	const progress: ChatProgress = {
-		position: startOfStream, excluded: new Set(), attempts: 0, unsentAttempts: 0, firstTokenAt: undefined,
+		position: initialStreamPosition, excluded: new Set(), attempts: 0, unsentAttempts: 0, firstTokenAt: undefined,
 	};
 	for (;;) {
 		progress.attempts++;
@@ -162,19 +162,19 @@
 		fingerprint: makeFingerprint([chat.model, prompt]),
 		promptTokens: estimateTokens(prompt.length),
 		prefixHashes: hashPrompt(prompt),
-		deadline: requestedDeadline ?? addMilliseconds(clock.now(), defaultStreamMs),
+		deadline: requestedDeadline ?? addMilliseconds(clock.now(), defaultStreamTimeoutMs),
 		hasCallerDeadline: requestedDeadline !== undefined,
 	};
 	budgets.earn(context.budgetName);
 	checkQuarantine(services, context.fingerprint);
-	const hop = call.hop.makeChild('admission');
+	const hop = call.hop.startChild('admission');
 	const release = await gate.admit({
 		id: call.requestId,
 		team: account.team,
 		account: account.account,
 		serviceId,
 		rank: context.callClass.rank,
-		isPatient: isBackgroundClass(context.callClass),
+		isBackground: isBackgroundClass(context.callClass),
 		firstTokenMs: context.callClass.latency?.firstTokenMs,
 		work: context.promptTokens + getExpectedTokens(chat),
 		deadline: context.deadline,
--- a/packages/callers/src/serve-claimed.ts
+++ b/packages/callers/src/serve-claimed.ts
@@ -4,17 +4,17 @@
  */
 import {Buffer} from 'node:buffer';
 import {createHash, randomUUID} from 'node:crypto';
-import {waitQuietly} from '@shallotpass/common/clock.js';
+import {waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {
-	defaultCallMs, dispatchMarginMs, dispatchWindowMs, recordedAnswerMaxBytes,
+	defaultCallTimeoutMs, dispatchMarginMs, dispatchWindowMs, maxRecordedResponseBytes,
 } from '@shallotpass/common/constants.js';
-import {type Claim, type Outcome, type RecordedAnswer} from '@shallotpass/common/log-records.js';
+import {type Claim, type Outcome, type RecordedResponse} from '@shallotpass/common/log-records.js';
 import {ServingError} from '@shallotpass/common/serving-error.js';
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
 import {BackendCallError, callPlain} from '@shallotpass/backends/call-plain.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
 import {makeKeyName} from '@shallotpass/core/claims/claim-state.js';
-import {type ClaimAnswer} from '@shallotpass/peers/peer-methods.js';
+import {type ClaimResult} from '@shallotpass/peers/peer-methods.js';
 import {makeAttemptSignal} from './attempt-signal.js';
 import {getHeader} from './caller-call.js';
 import {
@@ -61,13 +61,13 @@
 		owner: environment.settings.instance.id,
 		ownerEpoch: String(epoch),
 		dispatchBy: now + dispatchWindowMs,
-		answerBy: Math.max(context.deadline, now + defaultCallMs),
+		answerBy: Math.max(context.deadline, now + defaultCallTimeoutMs),
 	};
 };
 
 type ResponseKind = 'first' | 'replayed';
 
-const sendResponse = (context: PlainCallContext, answer: RecordedAnswer, kind: ResponseKind): void => {
+const sendResponse = (context: PlainCallContext, answer: RecordedResponse, kind: ResponseKind): void => {
 	const {response, requestId} = context.call;
 	if (response.destroyed || response.headersSent) {
 		return;
@@ -92,9 +92,9 @@
 	void context.services.claims.recordOutcome(claim, {kind: 'not_sent', claimId: claim.id, key: makeKeyName(claim)});
 };
 
-const makeOutcome = (claim: Claim, answer: RecordedAnswer): Outcome => {
+const makeOutcome = (claim: Claim, answer: RecordedResponse): Outcome => {
 	const base = {claimId: claim.id, key: makeKeyName(claim)};
-	return answer.bodyBase64.length > recordedAnswerMaxBytes * 4 / 3
+	return answer.bodyBase64.length > maxRecordedResponseBytes * 4 / 3
 		? {kind: 'answered_not_kept', ...base}
 		: {kind: 'answered', answer, ...base};
 };
@@ -126,14 +126,14 @@
  * Sends the call once. A disconnect of the caller does not abort it, because it runs on the backend server in any case
  * and its outcome is needed for the next call with the same key.
  */
-const sendOnce = async ({context, claim, fencing, body, backend}: SendOptions): Promise<RecordedAnswer> => {
+const sendOnce = async ({context, claim, fencing, body, backend}: SendOptions): Promise<RecordedResponse> => {
 	const {services, call} = context;
 	const {registry, environment, connections} = services;
 	const startedAt = environment.clock.now();
 	const attemptSignal = makeAttemptSignal({
 		callerGoneSignal: undefined, leavingSignal: undefined, deadline: claim.answerBy as Deadline, now: startedAt,
 	});
-	const send = async (traceparent: string | undefined): Promise<RecordedAnswer> => {
+	const send = async (traceparent: string | undefined): Promise<RecordedResponse> => {
 		const answer = await callPlain({
 			address: backend.address,
 			method: context.method,
@@ -160,7 +160,7 @@
 const isProvenUnsent = (error: unknown): boolean => error instanceof BackendCallError && !error.wasSent;
 
 /** Attempts the call on backend servers until it has been sent to one, and returns its response. */
-const dispatch = async (context: PlainCallContext, claim: Claim, fencing: number, body: Uint8Array): Promise<RecordedAnswer> => {
+const dispatch = async (context: PlainCallContext, claim: Claim, fencing: number, body: Uint8Array): Promise<RecordedResponse> => {
 	const {clock} = context.services.environment;
 	const excluded = new Set<string>();
 	for (;;) {
@@ -200,13 +200,13 @@
 };
 
 /** Waits for the outcome of a call with the same key that is already running, so that the caller gets the same response. */
-const waitForOutcome = async (context: PlainCallContext, claim: Claim): Promise<ClaimAnswer> => {
+const waitForOutcome = async (context: PlainCallContext, claim: Claim): Promise<ClaimResult> => {
 	const {environment, claims} = context.services;
 	const {clock} = environment;
 	for (let polls = 0; clock.now() < context.deadline && !context.call.callerGoneSignal.aborted; polls++) {
 		const delayMs = Math.min(maxPollIntervalMs, initialPollIntervalMs * (2 ** polls));
 		/* eslint-disable no-await-in-loop -- polls until the outcome is known */
-		await waitQuietly(clock, Math.min(context.deadline, clock.now() + delayMs) as Deadline, context.call.callerGoneSignal);
+		await waitUntilOrAborted(clock, Math.min(context.deadline, clock.now() + delayMs) as Deadline, context.call.callerGoneSignal);
 		const answer = await claims.lookUp(claim, context.deadline, context.call.hop);
 		/* eslint-enable no-await-in-loop */
 		if (answer.kind !== 'running' && answer.kind !== 'unavailable') {
@@ -217,7 +217,7 @@
 	throw new ServingError('the first call with this key has not ended yet', {kind: 'call_in_progress', retryAt: addMilliseconds(clock.now(), retryAfterMs)});
 };
 
-const respondToSettledClaim = (context: PlainCallContext, claim: Claim, answer: ClaimAnswer): void => {
+const respondToSettledClaim = (context: PlainCallContext, claim: Claim, answer: ClaimResult): void => {
 	switch (answer.kind) {
 		case 'answered': {
 			sendResponse(context, answer.answer, 'replayed');
@@ -253,7 +253,7 @@
 };
 
 const claimAndRun = async (context: PlainCallContext, claim: Claim, body: Uint8Array): Promise<void> => {
-	const hop = context.call.hop.makeChild('claim');
+	const hop = context.call.hop.startChild('claim');
 	const claimBy = Math.min(context.deadline, claim.dispatchBy - dispatchMarginMs) as Deadline;
 	const answer = await context.services.claims.claim(claim, claimBy, hop);
 	hop.end();
--- a/packages/callers/src/serve-repeatable.ts
+++ b/packages/callers/src/serve-repeatable.ts
@@ -2,7 +2,7 @@
 import {type Readable} from 'node:stream';
 import {pipeline} from 'node:stream/promises';
 import {ServingError} from '@shallotpass/common/serving-error.js';
-import {BackendCallError, callPlain, type PlainAnswer} from '@shallotpass/backends/call-plain.js';
+import {BackendCallError, callPlain, type PlainResponse} from '@shallotpass/backends/call-plain.js';
 import {type BackendView} from '@shallotpass/core/routing/types.js';
 import {makeAttemptSignal, type AttemptSignal} from './attempt-signal.js';
 import {
@@ -66,7 +66,7 @@
 	return error instanceof ServingError && error.kind !== 'mismatched_answer' ? error : undefined;
 };
 
-const relayResponse = async (context: PlainCallContext, answer: PlainAnswer): Promise<void> => {
+const relayResponse = async (context: PlainCallContext, answer: PlainResponse): Promise<void> => {
 	writeResponseHead(context, answer);
 	try {
 		await pipeline(answer.body, context.call.response);
--- a/packages/common/src/clock.ts
+++ b/packages/common/src/clock.ts
@@ -21,7 +21,7 @@
 };
 
 /** Waits until the deadline. Unlike `clock.waitUntil`, it resolves when the signal is aborted. */
-export const waitQuietly = async (clock: Clock, deadline: Deadline, signal: AbortSignal): Promise<void> => {
+export const waitUntilOrAborted = async (clock: Clock, deadline: Deadline, signal: AbortSignal): Promise<void> => {
 	try {
 		await clock.waitUntil(deadline, signal);
 	} catch (error) {
--- a/packages/common/src/constants.ts
+++ b/packages/common/src/constants.ts
@@ -13,7 +13,7 @@
 export const claimShardCount = 8;
 
 /** How long an idempotency key is remembered. Callers rely on this duration. */
-export const keyMemoryMs = 6 * 60 * 60 * 1000;
+export const idempotencyKeyRetentionMs = 6 * 60 * 60 * 1000;
 
 /** Longest time between a claim and the first byte that its owner sends to the backend server. */
 export const dispatchWindowMs = 2000;
@@ -22,13 +22,13 @@
 export const dispatchMarginMs = 200;
 
 /** Time limit of a call to a plain service if the caller sets no deadline. */
-export const defaultCallMs = 30_000;
+export const defaultCallTimeoutMs = 30_000;
 
 /** Time limit of a stream from a model engine if the caller sets no deadline. */
-export const defaultStreamMs = 600_000;
+export const defaultStreamTimeoutMs = 600_000;
 
 /** Larger responses are not stored for replay to a repeated call. */
-export const recordedAnswerMaxBytes = 32_768;
+export const maxRecordedResponseBytes = 32_768;
 
 /** Age at which an accepted configuration is appended to the log again, so that log retention does not delete it. */
 export const restatementAgeMs = 60 * 60 * 1000;
--- a/packages/common/src/error-kinds.ts
+++ b/packages/common/src/error-kinds.ts
@@ -23,7 +23,7 @@
 });
 
 /* eslint-disable @typescript-eslint/naming-convention -- error kinds are part of the wire format */
-export const errorAnswers = {
+export const errorResponses = {
 	unauthenticated: makeErrorResponse(401, 'The key is missing or unknown', 'no', 'Send a valid key.'),
 	forbidden: makeErrorResponse(403, 'The key may not do this', 'no', 'Ask an operator for the permission.'),
 	not_found: makeErrorResponse(404, 'Nothing is served here', 'no', 'Check the path and the service name.'),
@@ -61,6 +61,6 @@
 } as const satisfies Record<string, ErrorResponse>;
 /* eslint-enable @typescript-eslint/naming-convention */
 
-export type ErrorKind = keyof typeof errorAnswers;
+export type ErrorKind = keyof typeof errorResponses;
 
-export const isErrorKind = (value: unknown): value is ErrorKind => typeof value === 'string' && Object.hasOwn(errorAnswers, value);
+export const isErrorKind = (value: unknown): value is ErrorKind => typeof value === 'string' && Object.hasOwn(errorResponses, value);
--- a/packages/common/src/log-records.ts
+++ b/packages/common/src/log-records.ts
@@ -41,7 +41,7 @@
 	answerBy: z.number(),
 });
 
-export const recordedAnswerSchema = z.object({
+export const recordedResponseSchema = z.object({
 	status: z.int(),
 	headers: z.array(z.object({name: z.string(), value: z.string()})),
 	bodyBase64: z.string(),
@@ -49,7 +49,7 @@
 
 export const outcomeSchema = z.discriminatedUnion('kind', [
 	z.object({
-		kind: z.literal('answered'), claimId: z.string(), key: z.string(), answer: recordedAnswerSchema,
+		kind: z.literal('answered'), claimId: z.string(), key: z.string(), answer: recordedResponseSchema,
 	}),
 	z.object({kind: z.literal('answered_not_kept'), claimId: z.string(), key: z.string()}),
 	z.object({kind: z.literal('not_sent'), claimId: z.string(), key: z.string()}),
@@ -93,6 +93,6 @@
 export type ConfigurationRecord = z.output<typeof configurationRecordSchema>;
 export type RestatementRecord = z.output<typeof restatementRecordSchema>;
 export type Claim = z.output<typeof claimSchema>;
-export type RecordedAnswer = z.output<typeof recordedAnswerSchema>;
+export type RecordedResponse = z.output<typeof recordedResponseSchema>;
 export type Outcome = z.output<typeof outcomeSchema>;
 export type ClaimStreamRecord = z.output<typeof claimStreamRecordSchema>;
--- a/packages/common/src/problem.ts
+++ b/packages/common/src/problem.ts
@@ -1,4 +1,4 @@
-import {errorAnswers, type ErrorKind, type Executed} from './error-kinds.js';
+import {errorResponses, type ErrorKind, type Executed} from './error-kinds.js';
 import {type ServingError} from './serving-error.js';
 
 /** Body of an error response, in the problem details format of RFC 9457. */
@@ -13,7 +13,7 @@
 };
 
 export const makeProblem = (error: ServingError, requestId?: string): Problem => {
-	const {status, title} = errorAnswers[error.kind];
+	const {status, title} = errorResponses[error.kind];
 	return {
 		type: `urn:shallotpass:error:${error.kind}`,
 		kind: error.kind,
--- a/packages/common/src/serving-error.ts
+++ b/packages/common/src/serving-error.ts
@@ -1,5 +1,5 @@
 import ModernError, {type InstanceOptions} from 'modern-errors';
-import {errorAnswers, type ErrorKind, type Executed} from './error-kinds.js';
+import {errorResponses, type ErrorKind, type Executed} from './error-kinds.js';
 import {type Deadline} from './types.js';
 
 type ServingErrorOptions = InstanceOptions & {
@@ -28,7 +28,7 @@
 			super(message, options);
 			this.kind = kind;
 			this.retryAt = retryAt;
-			this.executed = executed ?? errorAnswers[kind].executed;
+			this.executed = executed ?? errorResponses[kind].executed;
 		}
 	},
 }) as unknown as ServingErrorClass;
--- a/packages/common/src/task.ts
+++ b/packages/common/src/task.ts
@@ -30,14 +30,14 @@
 	};
 };
 
-export type Step<State, Effect> = {
+export type FoldResult<State, Effect> = {
 	readonly state: State;
 	readonly effects: readonly Effect[];
 };
 
 type TaskOptions<State, Message, Effect> = {
 	readonly initial: State;
-	readonly fold: (state: State, message: Message) => Step<State, Effect>;
+	readonly fold: (state: State, message: Message) => FoldResult<State, Effect>;
 	readonly perform: (effect: Effect, state: State) => void;
 	readonly onError: (error: unknown) => void;
 	readonly signal: AbortSignal;
--- a/packages/common/src/toml-file.ts
+++ b/packages/common/src/toml-file.ts
@@ -9,7 +9,7 @@
 	readonly found: string;
 };
 
-export type FileReading<Value> =
+export type FileReadResult<Value> =
 	| {readonly kind: 'read'; readonly value: Value}
 	| {readonly kind: 'mistakes'; readonly mistakes: readonly FileMistake[]};
 
@@ -122,7 +122,7 @@
 };
 
 /** Parses and validates TOML text. The keys of the schema are camelCase, those of the text are snake_case. */
-export const readToml = <Schema extends z.ZodType>(text: string, schema: Schema): FileReading<z.output<Schema>> => {
+export const readToml = <Schema extends z.ZodType>(text: string, schema: Schema): FileReadResult<z.output<Schema>> => {
 	let raw: unknown;
 	try {
 		raw = parse(text);
--- a/packages/core/src/engines/engines.test.ts
+++ b/packages/core/src/engines/engines.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import {type BackendOrder} from '../duties/lease.js';
+import {type BackendOrder} from '../lease/lease.js';
 import {updateDemandEstimate, roundWithHysteresis} from './estimate-demand.js';
 import {planBackends, type ZoneFleet} from './plan-backends.js';
 
--- a/packages/core/src/engines/plan-backends.ts
+++ b/packages/core/src/engines/plan-backends.ts
@@ -8,7 +8,7 @@
  * in size because a zone that is disconnected by a network partition has to serve its own callers.
  */
 import {type FleetBounds} from '../calls/serving-configuration.js';
-import {type BackendOrder} from '../duties/lease.js';
+import {type BackendOrder} from '../lease/lease.js';
 
 export type ZoneFleet = {
 	readonly availabilityZone: string;
--- a/packages/core/src/fleet/fleet.test.ts
+++ b/packages/core/src/fleet/fleet.test.ts
@@ -89,37 +89,37 @@
 ];
 
 const makeView = (changes: Partial<FleetView>): FleetView => ({
-	now: 0, offers, instances: [], openOrders: [], fixedPlaces: 0, demandPlaces: 0, refusals: [], ...changes,
+	now: 0, offers, instances: [], openOrders: [], fixedSlots: 0, demandSlots: 0, refusals: [], ...changes,
 });
 
 const plan = makeFleetPlanner({
-	headroom: 1, peakReserve: 0, minPlaces: 0, minRuntimeMs: 0,
+	headroom: 1, peakReserve: 0, minSlots: 0, minRuntimeMs: 0,
 });
 const listStartedClasses = (changes: Partial<FleetView>): string[] => plan(makeView(changes)).starts.map(offer => `${offer.machineClass}${offer.isReclaimable ? '' : ' on demand'}`);
 
 test('most slots come from the machine class with the lowest price per slot, the last few from a class that fits them', () => {
-	assert.deepEqual(listStartedClasses({demandPlaces: 48}), ['big', 'small']);
-	assert.deepEqual(listStartedClasses({demandPlaces: 5}), ['small']);
-	assert.deepEqual(listStartedClasses({demandPlaces: 48, fixedPlaces: 50}), []);
+	assert.deepEqual(listStartedClasses({demandSlots: 48}), ['big', 'small']);
+	assert.deepEqual(listStartedClasses({demandSlots: 5}), ['small']);
+	assert.deepEqual(listStartedClasses({demandSlots: 48, fixedSlots: 50}), []);
 });
 
 test('a refused offer is skipped until its backoff ends, and on-demand instances are used last', () => {
 	const refusals = ['zone-1 big reclaimable', 'zone-1 small reclaimable'].map(offer => ({offer, times: 1, until: 100}));
-	assert.deepEqual(listStartedClasses({demandPlaces: 5, refusals}), ['small on demand']);
-	assert.deepEqual(listStartedClasses({demandPlaces: 5, refusals, now: 100}), ['small']);
+	assert.deepEqual(listStartedClasses({demandSlots: 5, refusals}), ['small on demand']);
+	assert.deepEqual(listStartedClasses({demandSlots: 5, refusals, now: 100}), ['small']);
 });
 
 test('a plan never both starts and ends instances, and always keeps the needed slots', () => {
 	const instance = fc.record({index: fc.nat(2), isLeaving: fc.boolean()});
-	fc.assert(fc.property(fc.array(instance, {maxLength: 12}), fc.nat(200), (generated, demandPlaces) => {
+	fc.assert(fc.property(fc.array(instance, {maxLength: 12}), fc.nat(200), (generated, demandSlots) => {
 		const instances = generated.map(({index, isLeaving}, number) => ({
 			...offers[index]!, id: String(number), token: String(number), startedAt: -1, isLeaving,
 		}));
-		const {starts, ends} = plan(makeView({instances, demandPlaces}));
+		const {starts, ends} = plan(makeView({instances, demandSlots}));
 		assert.ok(starts.length === 0 || ends.length === 0);
 		const countSlots = (list: ReadonlyArray<{readonly places?: number}>): number => list.reduce((sum, item) => sum + (item.places ?? 0), 0);
 		const left = countSlots(instances.filter(item => !item.isLeaving && !ends.some(end => end.id === item.id))) + countSlots(starts);
-		assert.ok(left >= demandPlaces, `${left} of ${demandPlaces}`);
+		assert.ok(left >= demandSlots, `${left} of ${demandSlots}`);
 	}), {seed: 7});
 });
 
--- a/packages/core/src/fleet/plan-fleet.ts
+++ b/packages/core/src/fleet/plan-fleet.ts
@@ -12,7 +12,7 @@
 	 */
 	readonly peakReserve: number;
 	/** Minimum number of slots, independent of the demand. */
-	readonly minPlaces: number;
+	readonly minSlots: number;
 	/** Minimum runtime of an instance before it is ended, in milliseconds, because its start was billed. */
 	readonly minRuntimeMs: number;
 };
@@ -123,9 +123,9 @@
 
 /** Makes a planner that starts instances below the target, ends some above it, and otherwise replaces on-demand instances. */
 export const makeFleetPlanner = (options: PlanOptions): FleetPlanner => (view): FleetPlan => {
-	const targetSlots = Math.max(options.minPlaces, (view.demandPlaces * options.headroom) + (options.peakReserve * Math.sqrt(view.demandPlaces)));
+	const targetSlots = Math.max(options.minSlots, (view.demandSlots * options.headroom) + (options.peakReserve * Math.sqrt(view.demandSlots)));
 	const capacity = [...view.instances.filter(instance => !instance.isLeaving), ...view.openOrders].map(item => makePlannedCapacity(view.offers, item));
-	const currentSlots = view.fixedPlaces + sumSlots(capacity);
+	const currentSlots = view.fixedSlots + sumSlots(capacity);
 	const refused = new Set(view.refusals.filter(refusal => refusal.until > view.now).map(refusal => refusal.offer));
 	const openOffers = view.offers.filter(offer => offer.places > 0 && !refused.has(makeOfferKey(offer)));
 	if (currentSlots < targetSlots) {
--- a/packages/core/src/fleet/types.ts
+++ b/packages/core/src/fleet/types.ts
@@ -66,9 +66,9 @@
 	/** Orders whose instance has not appeared yet. */
 	readonly openOrders: readonly FleetOrder[];
 	/** Slots of backend servers that were not started by an order. */
-	readonly fixedPlaces: number;
+	readonly fixedSlots: number;
 	/** Slots that the expected load needs. */
-	readonly demandPlaces: number;
+	readonly demandSlots: number;
 	readonly refusals: readonly Refusal[];
 };
 
--- a/packages/core/src/routing/speed-estimate.ts
+++ b/packages/core/src/routing/speed-estimate.ts
@@ -41,7 +41,7 @@
 		firstTokenMs: isLong ? speed.firstTokenMs : updateMean(speed.firstTokenMs, sample.firstTokenMs, speed.samples),
 		tokenMs: sample.tokenMs === undefined ? speed.tokenMs : updateMean(speed.tokenMs, sample.tokenMs, speed.samples),
 		prefillTokenMs: isLong ? updateMean(speed.prefillTokenMs, prefillTokenMs, speed.samples) : speed.prefillTokenMs,
-		minTokenMs: updateMinimum(speed.minTokenMs, sample.tokenMs),
+		leastTokenMs: updateMinimum(speed.leastTokenMs, sample.tokenMs),
 		samples: speed.samples + 1,
 	};
 };
@@ -57,5 +57,5 @@
  * Whether an answer missed its target because of load. A slow engine may miss the target even
  * without load; fewer calls would not make it faster but only leave it idle.
  */
-export const isSlowedByLoad = ({minTokenMs}: SpeedEstimate, {isLate: isTooLate, tokenMs}: SpeedSample): boolean =>
+export const isSlowedByLoad = ({leastTokenMs: minTokenMs}: SpeedEstimate, {isLate: isTooLate, tokenMs}: SpeedSample): boolean =>
 	isTooLate === true && tokenMs !== undefined && minTokenMs !== undefined && tokenMs > minTokenMs * slowdownFactor;
--- a/packages/core/src/routing/types.ts
+++ b/packages/core/src/routing/types.ts
@@ -8,7 +8,7 @@
 	/** Smoothed prefill time per prompt token that is not cached, in milliseconds. */
 	readonly prefillTokenMs: number;
 	/** Approximate minimum of the measured time between tokens, in milliseconds: the engine's speed without load. */
-	readonly minTokenMs?: number;
+	readonly leastTokenMs?: number;
 	readonly samples: number;
 };
 
--- a/packages/gateway/src/calls/call-attempts.ts
+++ b/packages/gateway/src/calls/call-attempts.ts
@@ -2,7 +2,7 @@
 import type http from 'node:http';
 import {computeRetryAfter} from '@shallotpass/core/admission/compute-retry-after.js';
 import {type Call, isRepeatable} from '@shallotpass/core/calls/types.js';
-import {takeFromRetryAllowance} from '@shallotpass/core/retries/repeat-allowance.js';
+import {takeFromRetryAllowance} from '@shallotpass/core/retries/retry-allowance.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type AdmittedCall, type CallContext} from './admit-call.js';
 import {getLatencyModel} from './backend-registry.js';
--- a/packages/gateway/src/calls/move-run.ts
+++ b/packages/gateway/src/calls/move-run.ts
@@ -4,7 +4,7 @@
  * of an availability zone with 2 s of notice, and long responses take longer.
  */
 import {type Call} from '@shallotpass/core/calls/types.js';
-import {takeFromRetryAllowance} from '@shallotpass/core/retries/repeat-allowance.js';
+import {takeFromRetryAllowance} from '@shallotpass/core/retries/retry-allowance.js';
 import {type GatewayState} from '../gateway-state.js';
 import {pauseFor} from '../pause.js';
 import {type MovedKvCache} from '../ports.js';
--- a/packages/gateway/src/calls/refusal.ts
+++ b/packages/gateway/src/calls/refusal.ts
@@ -1,7 +1,7 @@
 /** Error responses that the daemon itself sends. */
 import {Buffer} from 'node:buffer';
 import {type ServerResponse} from 'node:http';
-import {type ErrorKind, errorAnswers} from '@shallotpass/common/error-kinds.js';
+import {type ErrorKind, errorResponses} from '@shallotpass/common/error-kinds.js';
 
 export type Refusal = {
 	readonly kind: ErrorKind;
@@ -17,7 +17,7 @@
 		return;
 	}
 
-	const {status, title, executed} = errorAnswers[refusal.kind];
+	const {status, title, executed} = errorResponses[refusal.kind];
 	const body = JSON.stringify({
 		kind: refusal.kind, title, detail: refusal.detail, executed,
 	});
--- a/packages/gateway/src/calls/retry-limits.ts
+++ b/packages/gateway/src/calls/retry-limits.ts
@@ -1,5 +1,5 @@
 /** This daemon's share of the retry limit, by service. */
-import {makeRetryAllowance, type RetryAllowance, type RetryLimit} from '@shallotpass/core/retries/repeat-allowance.js';
+import {makeRetryAllowance, type RetryAllowance, type RetryLimit} from '@shallotpass/core/retries/retry-allowance.js';
 import {countDaemons, type GatewayState} from '../gateway-state.js';
 
 export const getRetryLimit = (gateway: GatewayState): RetryLimit => {
--- a/packages/gateway/src/calls/serve-call.ts
+++ b/packages/gateway/src/calls/serve-call.ts
@@ -1,7 +1,7 @@
 /** Entry point of all calls: admission, serving, and metrics and logs of the result. */
 import type http from 'node:http';
 import {isStream} from '@shallotpass/core/calls/types.js';
-import {recordCall} from '@shallotpass/core/retries/repeat-allowance.js';
+import {recordCall} from '@shallotpass/core/retries/retry-allowance.js';
 import {type GatewayState} from '../gateway-state.js';
 import {
 	admitCall, type AdmittedCall, type CallContext, RefusedCall,
--- a/packages/gateway/src/gateway-state.ts
+++ b/packages/gateway/src/gateway-state.ts
@@ -5,7 +5,7 @@
 import {type Spending} from '@shallotpass/core/quotas/spending.js';
 import {type IndexedConfiguration} from '@shallotpass/core/calls/index-configuration.js';
 import {type WorkRate} from '@shallotpass/core/engines/work-rate.js';
-import {type RetryAllowance} from '@shallotpass/core/retries/repeat-allowance.js';
+import {type RetryAllowance} from '@shallotpass/core/retries/retry-allowance.js';
 import {type UsageTally} from '@shallotpass/core/usage/count-starts.js';
 import {type BackendRegistry} from './calls/backend-registry.js';
 import {type Clocks} from './clocks.js';
--- a/packages/gateway/src/leader/deliver-duties.ts
+++ b/packages/gateway/src/leader/cloud-sender.ts
@@ -1,5 +1,5 @@
 /** Sends the leader's requests to the cloud API: the usage reports and backend server orders in the lease record. */
-import {type BackendOrder, getFencingToken, addReport} from '@shallotpass/core/duties/lease.js';
+import {type BackendOrder, getFencingToken, addReport} from '@shallotpass/core/lease/lease.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type EventFields} from '../telemetry/log-events.js';
 import {type CloudReply, type LeaseAuthority, type Platform} from '../ports.js';
--- a/packages/gateway/src/leader/collect-usage.ts
+++ b/packages/gateway/src/leader/collect-usage.ts
@@ -1,5 +1,5 @@
 /** Collects the usage and spending of all daemons for the lease record, from the reports of the peers. */
-import {type Lease} from '@shallotpass/core/duties/lease.js';
+import {type Lease} from '@shallotpass/core/lease/lease.js';
 import {computeDemand} from '@shallotpass/core/quotas/account-bucket.js';
 import {computeMaxUsable} from '@shallotpass/core/quotas/compute-ceiling.js';
 import {predictSlots, computeSpentSlots} from '@shallotpass/core/quotas/spending.js';
--- a/packages/gateway/src/leader/leader-task.ts
+++ b/packages/gateway/src/leader/leader-task.ts
@@ -5,7 +5,7 @@
  */
 import {
 	type BackendOrder, getFencingToken, isLeaseFree, type Lease, type LeaseCandidate, type LeaseObservation, listDueWindows, canTakeLease, releasedIncarnation, observeLease, addReport,
-} from '@shallotpass/core/duties/lease.js';
+} from '@shallotpass/core/lease/lease.js';
 import {getLeaseLookupDelayMs, type StoreRole} from '@shallotpass/core/gossip/store-role.js';
 import {
 	dropEarlierWindows, getWindowIndex, mergeUsage, sumWindow,
@@ -13,7 +13,7 @@
 import {pauseFor} from '../pause.js';
 import {
 	type CloudSender, type CloudSenderOptions, makeCloudSender, toOrderKey,
-} from './deliver-duties.js';
+} from './cloud-sender.js';
 import {collectUsage, projectSpending} from './collect-usage.js';
 import {type HeldLease, type LeaseRecord, makeLeaseRecord} from './lease-record.js';
 
--- a/packages/gateway/src/leader/lease-record.ts
+++ b/packages/gateway/src/leader/lease-record.ts
@@ -5,7 +5,7 @@
 import {Buffer} from 'node:buffer';
 import {
 	getFencingToken, type Lease, leaseSchema, canActOnLease, type StoredLease,
-} from '@shallotpass/core/duties/lease.js';
+} from '@shallotpass/core/lease/lease.js';
 import {type GatewayState} from '../gateway-state.js';
 import {type Platform} from '../ports.js';
 
--- a/packages/gateway/src/leader/order-planner.ts
+++ b/packages/gateway/src/leader/order-planner.ts
@@ -1,5 +1,5 @@
 /** Computes the backend server orders from the directory and the load. */
-import {type BackendOrder} from '@shallotpass/core/duties/lease.js';
+import {type BackendOrder} from '@shallotpass/core/lease/lease.js';
 import {
 	updateDemandEstimate, type DemandEstimate, roundWithHysteresis,
 } from '@shallotpass/core/engines/estimate-demand.js';
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -3,7 +3,7 @@
 import {type PromptPart} from '@shallotpass/core/calls/types.js';
 import {type ServingConfiguration} from '@shallotpass/core/calls/serving-configuration.js';
 import {type BackendEntry} from '@shallotpass/core/directory/types.js';
-import {type BackendOrder} from '@shallotpass/core/duties/lease.js';
+import {type BackendOrder} from '@shallotpass/core/lease/lease.js';
 
 /** Topics of the platform's store. The gateway only reads the first two. */
 export type Topic = 'configuration' | 'directory' | 'members' | 'lease';
--- a/packages/peers/src/secure-lines.test.ts
+++ b/packages/peers/src/authenticated-lines.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import {makeLineVerifier, makeLineSigner, makeSessionKey} from './secure-lines.js';
+import {makeLineVerifier, makeLineSigner, makeSessionKey} from './authenticated-lines.js';
 
 const transcript = {
 	clientId: 'a', clientNonce: 'nonce-of-the-client', serverId: 'b', serverNonce: 'nonce-of-the-server',
--- a/packages/peers/src/handshake.ts
+++ b/packages/peers/src/handshake.ts
@@ -10,7 +10,7 @@
 	nonceBytes,
 	type LineVerifier,
 	type LineSigner,
-} from './secure-lines.js';
+} from './authenticated-lines.js';
 
 const helloSchema = z.object({id: z.string().min(1), nonce: z.string().min(16)});
 const welcomeSchema = z.object({id: z.string().min(1), nonce: z.string().min(16), proof: z.string()});
--- a/packages/peers/src/peer-client.ts
+++ b/packages/peers/src/peer-client.ts
@@ -8,9 +8,9 @@
 
 export type PeerClient = {
 	/** Sends a request to the peer at the address and validates the response against the method's schema. */
-	readonly ask: <Method extends PeerMethod>(address: string, method: Method, parameters: PeerParameters<Method>, deadline: Deadline) => Promise<PeerResult<Method>>;
+	readonly call: <Method extends PeerMethod>(address: string, method: Method, parameters: PeerParameters<Method>, deadline: Deadline) => Promise<PeerResult<Method>>;
 	/** Closes the connection to a peer that has left. */
-	readonly forget: (address: string) => void;
+	readonly disconnect: (address: string) => void;
 	readonly bytes: Readonly<ByteCounts>;
 };
 
@@ -86,7 +86,7 @@
 	};
 
 	return {
-		async ask(address, method, parameters, deadline) {
+		async call(address, method, parameters, deadline) {
 			const reply = await requestWithReconnect(address, method, parameters, deadline);
 			const result = peerMethods[method].result.safeParse(reply);
 			if (!result.success) {
@@ -95,7 +95,7 @@
 
 			return result.data as never;
 		},
-		forget(address) {
+		disconnect(address) {
 			void closeConnection(address);
 		},
 		bytes,
--- a/packages/peers/src/peer-link.test.ts
+++ b/packages/peers/src/peer-link.test.ts
@@ -64,7 +64,7 @@
 for (const {name, client, server, isAccepted} of keyCases) {
 	test(`a client with ${name} is ${isAccepted ? 'answered' : 'refused'}`, async t => {
 		const {address} = await startServer(t, server);
-		const pendingResult = startClient(t, client).ask(address, 'status', {}, makeDeadline());
+		const pendingResult = startClient(t, client).call(address, 'status', {}, makeDeadline());
 		if (isAccepted) {
 			assert.equal((await pendingResult).versions.default, 3); // eslint-disable-line unicorn/no-await-expression-member -- a single read
 		} else {
@@ -139,13 +139,13 @@
 		const server = await startServer(t, [keyA]);
 		const proxy = await startTamperingProxy(t, server.address);
 		const client = startClient(t, [keyA]);
-		await client.ask(proxy.address, 'status', {}, makeDeadline());
+		await client.call(proxy.address, 'status', {}, makeDeadline());
 		assert.equal(server.countRefusals(), 0);
 		proxy.transform = change;
 		const closed = new Promise(resolve => {
 			proxy.connections[0]!.once('close', resolve);
 		});
-		await client.ask(proxy.address, 'status', {}, (Date.now() + 400) as Deadline).catch(() => undefined); // eslint-disable-line promise/prefer-await-to-then -- the call may succeed or fail
+		await client.call(proxy.address, 'status', {}, (Date.now() + 400) as Deadline).catch(() => undefined); // eslint-disable-line promise/prefer-await-to-then -- the call may succeed or fail
 		await closed;
 		assert.ok(server.countRefusals() > 0);
 	});
@@ -157,9 +157,9 @@
 	const server = await startServer(t, [keyA]);
 	const proxy = await startTamperingProxy(t, server.address);
 	const client = startClient(t, [keyA]);
-	await client.ask(proxy.address, 'status', {}, makeDeadline());
+	await client.call(proxy.address, 'status', {}, makeDeadline());
 	proxy.isSilent = true;
-	const answer = await client.ask(proxy.address, 'status', {}, makeDeadline());
+	const answer = await client.call(proxy.address, 'status', {}, makeDeadline());
 	assert.equal(answer.versions.default, 3);
 	assert.equal(proxy.connections.length, 2);
 });
@@ -173,7 +173,7 @@
 		return [chunk];
 	};
 
-	await startClient(t, [keyA]).ask(proxy.address, 'status', {}, makeDeadline());
+	await startClient(t, [keyA]).call(proxy.address, 'status', {}, makeDeadline());
 	const [host, port] = server.address.split(':');
 	const socket = connect(Number(port), host);
 	const closed = new Promise(resolve => {
--- a/packages/peers/src/peer-methods.ts
+++ b/packages/peers/src/peer-methods.ts
@@ -1,5 +1,5 @@
 /** RPC methods between daemons, with the schemas of their parameters and results. */
-import {claimSchema, outcomeSchema, recordedAnswerSchema} from '@shallotpass/common/log-records.js';
+import {claimSchema, outcomeSchema, recordedResponseSchema} from '@shallotpass/common/log-records.js';
 import {memberUpdateSchema} from '@shallotpass/core/membership/types.js';
 import * as z from 'zod';
 
@@ -36,7 +36,7 @@
 export const verdictSchema = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('won'), fencing: z.number()}),
 	z.object({kind: z.literal('reused')}),
-	z.object({kind: z.literal('answered'), answer: recordedAnswerSchema}),
+	z.object({kind: z.literal('answered'), answer: recordedResponseSchema}),
 	z.object({kind: z.literal('answered_not_kept')}),
 	z.object({kind: z.literal('running'), owner: z.string(), answerBy: z.number()}),
 	z.object({kind: z.literal('unknown')}),
@@ -44,7 +44,7 @@
 	z.object({kind: z.literal('unavailable'), detail: z.string()}),
 ]);
 
-export type ClaimAnswer = z.output<typeof verdictSchema>;
+export type ClaimResult = z.output<typeof verdictSchema>;
 
 export const peerMethods = {
 	probe: {
--- a/packages/provider/src/cloud-notices.ts
+++ b/packages/provider/src/cloud-notices.ts
@@ -1,5 +1,5 @@
 /** Long polling for reclaim notices: announcements of the cloud API that it will take an instance away. */
-import {type Clock, waitQuietly} from '@shallotpass/common/clock.js';
+import {type Clock, waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {type Dispatcher, request} from 'undici';
 import * as z from 'zod';
@@ -23,7 +23,7 @@
 	readonly clock: Clock;
 	readonly signal: AbortSignal;
 	readonly onNotice: (notice: ReclaimNotice) => void;
-	readonly onOutage: (error: unknown) => void;
+	readonly onError: (error: unknown) => void;
 };
 
 const longPollTimeoutMs = 10_000;
@@ -31,7 +31,7 @@
 
 /** Passes each notice to `onNotice` until the signal is aborted. Retries after errors. */
 export const followNotices = async (options: FollowNoticesOptions): Promise<void> => {
-	const {baseUrl, dispatcher, clock, signal, onNotice, onOutage} = options;
+	const {baseUrl, dispatcher, clock, signal, onNotice, onError} = options;
 	let nextNotice = 0;
 	while (!signal.aborted) {
 		try {
@@ -51,8 +51,8 @@
 				return;
 			}
 
-			onOutage(error);
-			await waitQuietly(clock, addMilliseconds(clock.now(), retryDelayMs), signal); // eslint-disable-line no-await-in-loop
+			onError(error);
+			await waitUntilOrAborted(clock, addMilliseconds(clock.now(), retryDelayMs), signal); // eslint-disable-line no-await-in-loop
 		}
 	}
 };
--- a/packages/provider/src/follow-log.ts
+++ b/packages/provider/src/follow-log.ts
@@ -1,9 +1,9 @@
 /** Reads a log stream to its end, then waits for new records. */
-import {type Clock, waitQuietly} from '@shallotpass/common/clock.js';
+import {type Clock, waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {type LogRecord, type LogService} from '@shallotpass/common/log-service.js';
 import {addMilliseconds, type Deadline, type LogOffset} from '@shallotpass/common/types.js';
 
-export type LogEvent =
+export type LogFollowEvent =
 	| {readonly kind: 'record'; readonly record: LogRecord}
 	| {readonly kind: 'trimmed'; readonly earliest: LogOffset}
 	| {readonly kind: 'caught_up'}
@@ -16,13 +16,13 @@
 	readonly clock: Clock;
 	readonly random: () => number;
 	readonly signal: AbortSignal;
-	readonly send: (event: LogEvent) => void;
+	readonly send: (event: LogFollowEvent) => void;
 	/** Earliest time of the next read after the end was reached. If absent, the next read starts immediately. */
-	readonly getNextReading?: () => Deadline;
+	readonly getNextReadTime?: () => Deadline;
 };
 
 /** Maximum number of records per read. */
-export const readLimit = 500;
+export const maxRecordsPerRead = 500;
 
 /**
  * A firewall or NAT can drop an open connection without notifying either end. This is detected only when a poll
@@ -42,7 +42,7 @@
 	const readBatch = async (): Promise<void> => {
 		const waitUntil = isAtEnd ? addMilliseconds(clock.now(), longPollTimeoutMs) : undefined;
 		const result = await log.read({
-			stream, from: nextOffset as LogOffset, limit: readLimit, waitUntil, signal,
+			stream, from: nextOffset as LogOffset, limit: maxRecordsPerRead, waitUntil, signal,
 		});
 		consecutiveFailures = 0;
 		if (result.kind === 'trimmed') {
@@ -64,8 +64,8 @@
 
 	while (!signal.aborted) {
 		try {
-			if (isAtEnd && options.getNextReading !== undefined) {
-				await waitQuietly(clock, options.getNextReading(), signal); // eslint-disable-line no-await-in-loop -- reads are sequential
+			if (isAtEnd && options.getNextReadTime !== undefined) {
+				await waitUntilOrAborted(clock, options.getNextReadTime(), signal); // eslint-disable-line no-await-in-loop -- reads are sequential
 			}
 
 			await readBatch(); // eslint-disable-line no-await-in-loop -- each read starts at the end of the previous one
@@ -78,7 +78,7 @@
 			const delayMs = Math.min(maxRetryDelayMs, initialRetryDelayMs * (2 ** consecutiveFailures));
 			consecutiveFailures++;
 			// Waits between 50 % and 100 % of the delay, so that the daemons do not all retry at the same time.
-			await waitQuietly(clock, addMilliseconds(clock.now(), delayMs * (0.5 + (random() / 2))), signal); // eslint-disable-line no-await-in-loop
+			await waitUntilOrAborted(clock, addMilliseconds(clock.now(), delayMs * (0.5 + (random() / 2))), signal); // eslint-disable-line no-await-in-loop
 		}
 	}
 };
--- a/packages/provider/src/instance-list-client.ts
+++ b/packages/provider/src/instance-list-client.ts
@@ -2,7 +2,7 @@
  * HTTP client of the platform's instance list. The list can be out of date. While it cannot be read,
  * the last version stays in use.
  */
-import {type Clock, waitQuietly} from '@shallotpass/common/clock.js';
+import {type Clock, waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {instanceListSchema, type InstanceList} from '@shallotpass/common/instance-list.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {type Dispatcher, request} from 'undici';
@@ -49,6 +49,6 @@
 			send({kind: 'outage', error});
 		}
 
-		await waitQuietly(clock, addMilliseconds(clock.now(), readIntervalMs), signal); // eslint-disable-line no-await-in-loop
+		await waitUntilOrAborted(clock, addMilliseconds(clock.now(), readIntervalMs), signal); // eslint-disable-line no-await-in-loop
 	}
 };
--- a/packages/provider/src/memory-log.ts
+++ b/packages/provider/src/memory-log.ts
@@ -16,7 +16,7 @@
 	readonly countAppends: () => number;
 	readonly listStreams: () => string[];
 	/** Returns all records of the stream that have not been trimmed. */
-	readonly dump: (stream: string) => readonly LogRecord[];
+	readonly listRecords: (stream: string) => readonly LogRecord[];
 };
 
 const getNextOffset = (stream: MemoryStream): number => stream.earliest + stream.records.length;
@@ -95,6 +95,6 @@
 		},
 		countAppends: () => appendCount,
 		listStreams: () => [...streams.keys()],
-		dump: name => getOrCreateStream(name).records,
+		listRecords: name => getOrCreateStream(name).records,
 	};
 };
--- a/packages/stand-ins/src/cloud-stand-in.ts
+++ b/packages/stand-ins/src/cloud-stand-in.ts
@@ -25,10 +25,10 @@
 export type CloudStandIn = StandInServer & {
 	readonly faults: FaultTable;
 	/** Announces that an instance will be reclaimed at `leavesAt`. */
-	readonly giveNotice: (instanceId: string, leavesAt: number) => void;
+	readonly announceReclaim: (instanceId: string, leavesAt: number) => void;
 	readonly listStarted: () => StartedInstance[];
 	/** Counts all instances started so far, including those that have ended. */
-	readonly countEverStarted: () => number;
+	readonly countAllStarted: () => number;
 };
 
 const pollIntervalMs = 20;
@@ -113,10 +113,10 @@
 	return {
 		...server,
 		faults,
-		giveNotice(instanceId, leavesAt) {
+		announceReclaim(instanceId, leavesAt) {
 			notices.push({instanceId, leavesAt});
 		},
 		listStarted: () => [...runningByToken.values()],
-		countEverStarted: () => allByToken.size,
+		countAllStarted: () => allByToken.size,
 	};
 };
--- a/packages/stand-ins/src/plain-service-stand-in.ts
+++ b/packages/stand-ins/src/plain-service-stand-in.ts
@@ -20,7 +20,7 @@
 	/** Executed calls, in order. */
 	readonly executions: readonly Execution[];
 	/** Counts the calls received, including those that were not executed. */
-	readonly countSeen: () => number;
+	readonly countReceived: () => number;
 };
 
 type PlainServiceOptions = {
@@ -114,6 +114,6 @@
 		...server,
 		faults,
 		executions,
-		countSeen: () => receivedCalls,
+		countReceived: () => receivedCalls,
 	};
 };
--- a/packages/tasks/src/backend-registry.ts
+++ b/packages/tasks/src/backend-registry.ts
@@ -61,7 +61,7 @@
 	/** Records that a call was sent to the backend server. Each call of `begin` is followed by one of `end`. */
 	readonly begin: (id: string, start?: CallStart) => void;
 	/** Records that the engine has prefilled the prompt tokens of a call. */
-	readonly recordPromptProcessed: (id: string, promptTokens: number) => void;
+	readonly recordPromptPrefilled: (id: string, promptTokens: number) => void;
 	readonly end: (id: string, isUrgent?: boolean) => void;
 	/** Records a measured speed and the prompt prefix that the engine has cached. */
 	readonly recordSpeedSample: (id: string, sample: SpeedSample, chain: readonly bigint[]) => void;
@@ -301,7 +301,7 @@
 			};
 			metrics.running.inc();
 		},
-		recordPromptProcessed(id, promptTokens) {
+		recordPromptPrefilled(id, promptTokens) {
 			updateView(id, view => ({...view, pendingTokens: Math.max(0, view.pendingTokens - promptTokens)}));
 		},
 		end(id, isUrgent = false) {
--- a/packages/tasks/src/claim-service.ts
+++ b/packages/tasks/src/claim-service.ts
@@ -2,30 +2,30 @@
  * Records claims and outcomes for this daemon's calls. Each request goes first to the stream's preferred writer,
  * then directly to the log, and finally through other peers that may reach the log.
  */
-import {waitQuietly} from '@shallotpass/common/clock.js';
+import {waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {type Claim, type Outcome} from '@shallotpass/common/log-records.js';
 import {type LogService} from '@shallotpass/common/log-service.js';
 import {addMilliseconds, type Deadline} from '@shallotpass/common/types.js';
 import {makeKeyName} from '@shallotpass/core/claims/claim-state.js';
 import {pickClaimStream, pickClaimWriter} from '@shallotpass/core/claims/pick-claim-shard.js';
-import {type Hop} from '@shallotpass/telemetry/tracing.js';
+import {type TraceSpan} from '@shallotpass/telemetry/tracing.js';
 import {type PeerClient} from '@shallotpass/peers/peer-client.js';
-import {type ClaimAnswer} from '@shallotpass/peers/peer-methods.js';
+import {type ClaimResult} from '@shallotpass/peers/peer-methods.js';
 import {makeClaimShard, type ClaimShard} from './claim-shard.js';
 import {type Environment} from './environment.js';
 import {type MembershipTask} from './membership-task.js';
 
 export type ClaimService = {
 	/** Claims the key over the first route that reaches the log. After `unavailable`, the claim may or may not be in the log. */
-	readonly claim: (claim: Claim, deadline: Deadline, hop?: Hop) => Promise<ClaimAnswer>;
+	readonly claim: (claim: Claim, deadline: Deadline, hop?: TraceSpan) => Promise<ClaimResult>;
 	/** Returns the current state of the claim's key without claiming it. */
-	readonly lookUp: (claim: Claim, deadline: Deadline, hop?: Hop) => Promise<ClaimAnswer>;
+	readonly lookUp: (claim: Claim, deadline: Deadline, hop?: TraceSpan) => Promise<ClaimResult>;
 	/** Records the outcome, with retries until it is in the log or the retry window has passed. */
 	readonly recordOutcome: (claim: Claim, outcome: Outcome) => Promise<boolean>;
 	/** Resolves when no outcome is waiting to be recorded. */
 	readonly waitForPendingOutcomes: () => Promise<void>;
 	/** Handles a claim or lookup of a peer that regards this daemon as the writer or cannot reach the log. */
-	readonly answerPeer: (claim: Claim, isNew: boolean) => Promise<ClaimAnswer>;
+	readonly answerPeer: (claim: Claim, isNew: boolean) => Promise<ClaimResult>;
 	/** Records an outcome for a peer. */
 	readonly recordForPeer: (keyName: string, outcome: Outcome) => Promise<boolean>;
 	readonly countKeys: () => number;
@@ -45,7 +45,7 @@
 	readonly isNew: boolean;
 	readonly deadline: Deadline;
 	/** Parent of the trace span of a request to a peer. */
-	readonly hop: Hop | undefined;
+	readonly hop: TraceSpan | undefined;
 };
 
 /** How long to wait for one peer, such as the writer, before the next route is attempted. */
@@ -87,7 +87,7 @@
 		const self = membership.getSelf().id;
 		const reachable = membership.listReachable();
 		// Only assignable members are considered, because a leaving writer would soon stop responding.
-		const writer = pickClaimWriter(stream, membership.listSteady()) ?? self;
+		const writer = pickClaimWriter(stream, membership.listAssignable()) ?? self;
 		const others = reachable
 			.filter(id => id !== writer && id !== self)
 			.map(id => ({id, order: random()}))
@@ -97,7 +97,7 @@
 		return [...new Set([writer, self, ...others])];
 	};
 
-	const claimThrough = async (id: string, {stream, claim, isNew, deadline, hop}: ClaimQuery): Promise<ClaimAnswer> => {
+	const claimThrough = async (id: string, {stream, claim, isNew, deadline, hop}: ClaimQuery): Promise<ClaimResult> => {
 		if (id === membership.getSelf().id) {
 			const shard = getShard(stream);
 			return isNew ? shard.claim(claim) : shard.lookUp(claim);
@@ -108,11 +108,11 @@
 			return {kind: 'unavailable', detail: `${id} has no address`};
 		}
 
-		const peerHop = hop?.makeChild('peer', {peer: id});
+		const peerHop = hop?.startChild('peer', {peer: id});
 		let failure: unknown;
 		try {
 			const timeoutAt = Math.min(deadline, clock.now() + peerTimeoutMs) as Deadline;
-			return await client.ask(address, 'claim', {claim, isNew, traceparent: peerHop?.getTraceparent()}, timeoutAt);
+			return await client.call(address, 'claim', {claim, isNew, traceparent: peerHop?.getTraceparent()}, timeoutAt);
 		} catch (error) {
 			failure = error;
 			return {kind: 'unavailable', detail: error instanceof Error ? error.message : `${id} does not answer`};
@@ -121,10 +121,10 @@
 		}
 	};
 
-	const claimThroughAnyRoute = async (query: Omit<ClaimQuery, 'stream'>): Promise<ClaimAnswer> => {
+	const claimThroughAnyRoute = async (query: Omit<ClaimQuery, 'stream'>): Promise<ClaimResult> => {
 		const {claim, deadline} = query;
 		const stream = pickClaimStream(makeKeyName(claim));
-		let lastAnswer: ClaimAnswer = {kind: 'unavailable', detail: 'no daemon reaches the log'};
+		let lastAnswer: ClaimResult = {kind: 'unavailable', detail: 'no daemon reaches the log'};
 		for (const id of listRoutes(stream)) {
 			if (clock.now() >= deadline) {
 				break;
@@ -152,7 +152,7 @@
 		}
 
 		try {
-			const {isRecorded} = await client.ask(address, 'recordOutcome', {keyName: makeKeyName(claim), outcome}, addMilliseconds(clock.now(), peerTimeoutMs));
+			const {isRecorded} = await client.call(address, 'recordOutcome', {keyName: makeKeyName(claim), outcome}, addMilliseconds(clock.now(), peerTimeoutMs));
 			return isRecorded;
 		} catch {
 			return false;
@@ -171,7 +171,7 @@
 			}
 
 			const delay = Math.min(maxRecordRetryMs, initialRecordRetryMs * (2 ** attempts));
-			await waitQuietly(clock, addMilliseconds(clock.now(), delay * (0.5 + (random() / 2))), signal);
+			await waitUntilOrAborted(clock, addMilliseconds(clock.now(), delay * (0.5 + (random() / 2))), signal);
 			/* eslint-enable no-await-in-loop */
 		}
 
--- a/packages/tasks/src/claim-shard.ts
+++ b/packages/tasks/src/claim-shard.ts
@@ -2,10 +2,10 @@
  * Reads and writes one claim stream. Claims and outcomes are batched into appends,
  * and the result of each claim is determined only from the records in the log.
  */
-import {keyMemoryMs} from '@shallotpass/common/constants.js';
-import {waitQuietly} from '@shallotpass/common/clock.js';
+import {idempotencyKeyRetentionMs} from '@shallotpass/common/constants.js';
+import {waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {
-	type Claim, type Outcome, type RecordedAnswer, claimStreamRecordSchema,
+	type Claim, type Outcome, type RecordedResponse, claimStreamRecordSchema,
 } from '@shallotpass/common/log-records.js';
 import {type LogRecord, type LogService} from '@shallotpass/common/log-service.js';
 import {addMilliseconds, type LogOffset} from '@shallotpass/common/types.js';
@@ -14,7 +14,7 @@
 } from '@shallotpass/core/claims/claim-state.js';
 import {decideClaim} from '@shallotpass/core/claims/decide-claim.js';
 import {type ClaimState, type ClaimDecision} from '@shallotpass/core/claims/types.js';
-import {type ClaimAnswer} from '@shallotpass/peers/peer-methods.js';
+import {type ClaimResult} from '@shallotpass/peers/peer-methods.js';
 import {type Environment} from './environment.js';
 
 type Pending<Item> = {
@@ -24,9 +24,9 @@
 
 export type ClaimShard = {
 	/** Claims the key and returns the result. */
-	readonly claim: (claim: Claim) => Promise<ClaimAnswer>;
+	readonly claim: (claim: Claim) => Promise<ClaimResult>;
 	/** Reads the log to its end and returns the state of the key, without claiming it. */
-	readonly lookUp: (claim: Claim) => Promise<ClaimAnswer>;
+	readonly lookUp: (claim: Claim) => Promise<ClaimResult>;
 	/** Resolves to true when the outcome is in the log or need not be recorded. */
 	readonly recordOutcome: (outcome: Outcome) => Promise<boolean>;
 	readonly countKeys: () => number;
@@ -53,7 +53,7 @@
 const applyWithReadTime = (state: ClaimState, record: Pick<LogRecord, 'offset' | 'record'>): ClaimState =>
 	applyClaimRecord(state, {...record, appendedAt: performance.now()});
 
-const makeUnavailable = (detail: string): ClaimAnswer => ({kind: 'unavailable', detail});
+const makeUnavailable = (detail: string): ClaimResult => ({kind: 'unavailable', detail});
 
 export const makeClaimShard = ({environment, log, stream, isOwnerGone}: ClaimShardOptions): ClaimShard => {
 	const {clock, settings, signal, metrics} = environment;
@@ -88,7 +88,7 @@
 		}
 
 		const oldestLeftAt = oldest?.appendedAt ?? getLogTime();
-		state = applyClaimTrim(state, earliest, oldestLeftAt, keyMemoryMs);
+		state = applyClaimTrim(state, earliest, oldestLeftAt, idempotencyKeyRetentionMs);
 		logger.warn('claims_trimmed_before_reading', {stream, earliest, unsafeUntil: state.unsafeUntil});
 	};
 
@@ -110,7 +110,7 @@
 			}
 
 			if (result.records.length === 0) {
-				deleteExpiredKeys(state, performance.now(), keyMemoryMs);
+				deleteExpiredKeys(state, performance.now(), idempotencyKeyRetentionMs);
 				return;
 			}
 		}
@@ -137,7 +137,7 @@
 		state, claim, now: clock.now(), logTime: getLogTime(), isOwnerGone,
 	});
 
-	const readAnswer = async (offset: LogOffset, claim: Claim): Promise<RecordedAnswer | undefined> => {
+	const readAnswer = async (offset: LogOffset, claim: Claim): Promise<RecordedResponse | undefined> => {
 		const result = await log.read({
 			stream, from: offset, limit: 1, signal,
 		});
@@ -147,7 +147,7 @@
 		return outcome?.kind === 'answered' ? outcome.answer : undefined;
 	};
 
-	const toAnswer = async (decision: ClaimDecision, claim: Claim): Promise<ClaimAnswer> => {
+	const toAnswer = async (decision: ClaimDecision, claim: Claim): Promise<ClaimResult> => {
 		switch (decision.kind) {
 			case 'answered': {
 				const answer = await readAnswer(decision.outcomeOffset, claim);
@@ -205,7 +205,7 @@
 			}
 
 			if (offset < state.foldedTo) {
-				deleteExpiredKeys(state, performance.now(), keyMemoryMs);
+				deleteExpiredKeys(state, performance.now(), idempotencyKeyRetentionMs);
 				return true;
 			}
 		} catch (error) {
@@ -249,7 +249,7 @@
 		isFlushing = true;
 		while (pendingClaims.length + pendingOutcomes.length > 0) {
 			/* eslint-disable no-await-in-loop -- one append at a time; items that arrive meanwhile go into the next batch */
-			await waitQuietly(clock, addMilliseconds(clock.now(), settings.limits.claimWindowMs), signal);
+			await waitUntilOrAborted(clock, addMilliseconds(clock.now(), settings.limits.claimWindowMs), signal);
 			await flushOnce();
 			/* eslint-enable no-await-in-loop */
 		}
--- a/packages/tasks/src/configuration-task.ts
+++ b/packages/tasks/src/configuration-task.ts
@@ -1,8 +1,8 @@
 /** Replays the configuration stream of the log and keeps the active configurations of all teams. */
 import {configurationStream, restatementAgeMs} from '@shallotpass/common/constants.js';
-import {waitQuietly} from '@shallotpass/common/clock.js';
+import {waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {type LogService} from '@shallotpass/common/log-service.js';
-import {startTask, type Step} from '@shallotpass/common/task.js';
+import {startTask, type FoldResult} from '@shallotpass/common/task.js';
 import {addMilliseconds, type LogOffset} from '@shallotpass/common/types.js';
 import {
 	emptyConfigurationState, applyConfigurationRecord, applyTrim, closeGap,
@@ -16,12 +16,12 @@
 	applyOffer,
 } from '@shallotpass/core/configuration/exchange-offers.js';
 import {type AcceptedConfiguration, type ConfigurationOffer, type ConfigurationState} from '@shallotpass/core/configuration/types.js';
-import {followLog, readLimit, type LogEvent} from '@shallotpass/provider/follow-log.js';
+import {followLog, maxRecordsPerRead, type LogFollowEvent} from '@shallotpass/provider/follow-log.js';
 import {type Environment} from './environment.js';
 import {noActiveConfigurations, activateConfiguration, type ActiveConfigurations} from './active-configurations.js';
 
 type Message =
-	| {readonly kind: 'log'; readonly event: LogEvent}
+	| {readonly kind: 'log'; readonly event: LogFollowEvent}
 	| {readonly kind: 'offer'; readonly offer: ConfigurationOffer}
 	| {readonly kind: 'versions'; readonly address: string; readonly versions: Readonly<Record<string, number>>}
 	| {readonly kind: 'start'; readonly offer: ConfigurationOffer}
@@ -89,12 +89,12 @@
 		.filter(accepted => before.accepted.get(accepted.team)?.version !== accepted.version)
 		.map(accepted => ({kind: 'accepted', accepted}));
 
-const makeStep = (state: TaskState, configuration: ConfigurationState): Step<TaskState, Effect> => ({
+const makeStep = (state: TaskState, configuration: ConfigurationState): FoldResult<TaskState, Effect> => ({
 	state: {...state, configuration},
 	effects: listNewlyAccepted(state.configuration, configuration),
 });
 
-const applyLogEvent = (state: TaskState, event: LogEvent): Step<TaskState, Effect> => {
+const applyLogEvent = (state: TaskState, event: LogFollowEvent): FoldResult<TaskState, Effect> => {
 	switch (event.kind) {
 		case 'record': {
 			return makeStep(state, applyConfigurationRecord(state.configuration, event.record));
@@ -114,7 +114,7 @@
 	}
 };
 
-const applyMessage = (now: () => number) => (state: TaskState, message: Message): Step<TaskState, Effect> => {
+const applyMessage = (now: () => number) => (state: TaskState, message: Message): FoldResult<TaskState, Effect> => {
 	switch (message.kind) {
 		case 'log': {
 			return applyLogEvent(state, message.event);
@@ -193,7 +193,7 @@
 	const askMembers = async (): Promise<void> => {
 		logger.warn('log_trimmed_before_reading');
 		await Promise.all(options.listPeerAddresses().map(async address => fetchOfferFrom(address)));
-		await waitQuietly(clock, addMilliseconds(clock.now(), gapTimeoutMs), signal);
+		await waitUntilOrAborted(clock, addMilliseconds(clock.now(), gapTimeoutMs), signal);
 		task.send({kind: 'settle'});
 	};
 
@@ -248,7 +248,7 @@
 
 	const runRestatements = async (): Promise<void> => {
 		while (!signal.aborted) {
-			await waitQuietly(clock, addMilliseconds(clock.now(), restateIntervalMs), signal); // eslint-disable-line no-await-in-loop
+			await waitUntilOrAborted(clock, addMilliseconds(clock.now(), restateIntervalMs), signal); // eslint-disable-line no-await-in-loop
 			task.send({kind: 'restate', memberIndex: options.getMemberIndex()});
 		}
 	};
@@ -281,7 +281,7 @@
 		clock,
 		random: environment.random,
 		signal,
-		getNextReading: () => addMilliseconds(clock.now(), options.isZoneReader() ? 0 : backupPollIntervalMs * (0.5 + environment.random())),
+		getNextReadTime: () => addMilliseconds(clock.now(), options.isZoneReader() ? 0 : backupPollIntervalMs * (0.5 + environment.random())),
 		send(event) {
 			isLogReachable = event.kind !== 'outage';
 			task.send({kind: 'log', event});
@@ -316,7 +316,7 @@
 			try {
 				const {foldedTo} = task.getState().configuration;
 				const result = await log.read({
-					stream: configurationStream, from: foldedTo, limit: readLimit, signal,
+					stream: configurationStream, from: foldedTo, limit: maxRecordsPerRead, signal,
 				});
 				for (const record of result.kind === 'records' ? result.records : []) {
 					task.send({kind: 'log', event: {kind: 'record', record}});
--- a/packages/tasks/src/fleet-duty.ts
+++ b/packages/tasks/src/fleet-scaler.ts
@@ -6,7 +6,7 @@
  * so it starts at most one instance.
  */
 import {randomUUID} from 'node:crypto';
-import {waitQuietly} from '@shallotpass/common/clock.js';
+import {waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {type CloudInstance, type CloudService, type StartReply} from '@shallotpass/common/cloud-service.js';
 import {fleetStream} from '@shallotpass/common/constants.js';
 import {type FleetRecord} from '@shallotpass/common/log-records.js';
@@ -23,9 +23,9 @@
 export type FleetDemand = {
 	readonly offers: readonly Offer[];
 	/** Slots of backend servers that were not started by an order. */
-	readonly fixedPlaces: number;
+	readonly fixedSlots: number;
 	/** Slots that the expected demand requires. */
-	readonly demandPlaces: number;
+	readonly demandSlots: number;
 };
 
 export type FleetTiming = {
@@ -38,7 +38,7 @@
 	readonly drainMs: number;
 };
 
-export type FleetDutyOptions = {
+export type FleetScalerOptions = {
 	readonly environment: Environment;
 	readonly log: LogService;
 	readonly cloud: CloudService;
@@ -53,7 +53,7 @@
 	readonly announceEnd: (instanceId: string, leavesAt: Deadline) => void;
 };
 
-export type FleetDuty = {
+export type FleetScaler = {
 	/** Runs one round: reads the log, takes or renews the lease, plans, and carries out the orders. */
 	readonly runRound: () => Promise<void>;
 	readonly getState: () => FleetState;
@@ -67,7 +67,7 @@
 	roundIntervalMs: 2000, leaseMs: 15_000, listingTimeoutMs: 60_000, firstRefusalWaitMs: 10_000, drainMs: 30_000,
 };
 
-export const makeFleetDuty = (options: FleetDutyOptions): FleetDuty => {
+export const makeFleetScaler = (options: FleetScalerOptions): FleetScaler => {
 	const {environment, log, cloud, plan, availabilityZone, holder, measureDemand, timing, announceEnd} = options;
 	const {clock, signal, random} = environment;
 	const logger = environment.makeLogger('fleet');
@@ -231,8 +231,8 @@
 		await writeOrders(lease, {closed: gone.map(order => order.token)});
 		const now = clock.now();
 		const demand = measureDemand(instances);
-		environment.metrics.fleetPlaces.set({what: 'needed'}, demand.demandPlaces);
-		environment.metrics.fleetPlaces.set({what: 'fixed'}, demand.fixedPlaces);
+		environment.metrics.fleetPlaces.set({what: 'needed'}, demand.demandSlots);
+		environment.metrics.fleetPlaces.set({what: 'fixed'}, demand.fixedSlots);
 		const {starts, ends} = plan({
 			...demand,
 			now,
@@ -271,10 +271,10 @@
  * Runs rounds until the daemon stops, as long as it is one of the zone's candidates for the fleet lease.
  * While the log or the cloud API is unreachable, running instances are kept.
  */
-export const runFleetDuty = async (options: FleetDutyOptions, isCandidate: () => boolean): Promise<void> => {
+export const runFleetScaler = async (options: FleetScalerOptions, isCandidate: () => boolean): Promise<void> => {
 	const {clock, signal, random, makeLogger} = options.environment;
 	const logger = makeLogger('fleet');
-	const scaler = makeFleetDuty(options);
+	const scaler = makeFleetScaler(options);
 	while (!signal.aborted) {
 		/* eslint-disable no-await-in-loop -- rounds run one at a time */
 		try {
@@ -289,7 +289,7 @@
 			logger.debug('round_failed', {error});
 		}
 
-		await waitQuietly(clock, addMilliseconds(clock.now(), options.timing.roundIntervalMs * (0.75 + (random() / 2))), signal);
+		await waitUntilOrAborted(clock, addMilliseconds(clock.now(), options.timing.roundIntervalMs * (0.75 + (random() / 2))), signal);
 		/* eslint-enable no-await-in-loop */
 	}
 };
--- a/packages/tasks/src/load-reports.ts
+++ b/packages/tasks/src/load-reports.ts
@@ -1,5 +1,5 @@
 /** Polls load reports and cache events of the model engines that are assigned to this daemon. */
-import {waitQuietly} from '@shallotpass/common/clock.js';
+import {waitUntilOrAborted} from '@shallotpass/common/clock.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {readCacheEvents} from '@shallotpass/backends/engine-events.js';
 import {readLoad} from '@shallotpass/backends/engine-load.js';
@@ -110,6 +110,6 @@
 		const pauseMs = assigned.length > maxEnginesAtFullRate ? readIntervalMs * 2 : readIntervalMs;
 		await Promise.all(assigned.map(async id => readLoadReport(id))); // eslint-disable-line no-await-in-loop
 		await Promise.all(readsEveryEngine() ? assigned.map(async id => readEngineCacheEvents(id)) : []); // eslint-disable-line no-await-in-loop
-		await waitQuietly(clock, addMilliseconds(clock.now(), pauseMs), signal); // eslint-disable-line no-await-in-loop
+		await waitUntilOrAborted(clock, addMilliseconds(clock.now(), pauseMs), signal); // eslint-disable-line no-await-in-loop
 	}
 };
--- a/packages/tasks/src/membership-task.ts
+++ b/packages/tasks/src/membership-task.ts
@@ -1,6 +1,6 @@
 /** Maintains the region's member list: probes members, detects failures and spreads updates by gossip. */
-import {waitQuietly} from '@shallotpass/common/clock.js';
-import {startTask, type Step} from '@shallotpass/common/task.js';
+import {waitUntilOrAborted} from '@shallotpass/common/clock.js';
+import {startTask, type FoldResult} from '@shallotpass/common/task.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {
 	announceLeaving,
@@ -42,7 +42,7 @@
 	/** Lists the ids of this daemon and of all reachable members, sorted. */
 	readonly listReachable: () => string[];
 	/** Lists the ids of the members that can be assigned tasks, sorted. */
-	readonly listSteady: () => string[];
+	readonly listAssignable: () => string[];
 	readonly findAddress: (id: string) => string | undefined;
 	readonly listPeers: () => Member[];
 	/** Whether the daemon process with this start time is known to have ended. */
@@ -92,7 +92,7 @@
 	let consecutiveDifferences = 0;
 	let nextSyncAt = 0;
 
-	const fold = (state: MembershipState, message: Message): Step<MembershipState, never> => {
+	const fold = (state: MembershipState, message: Message): FoldResult<MembershipState, never> => {
 		switch (message.kind) {
 			case 'updates': {
 				return {state: applyUpdates(state, message.updates, clock.now(), membershipOptions), effects: []};
@@ -165,7 +165,7 @@
 
 	const probe = async (address: string, receiver: Member | undefined, timeoutMs: number): Promise<boolean> => {
 		try {
-			const reply = await client.ask(
+			const reply = await client.call(
 				address,
 				'probe',
 				{updates: collectUpdates(receiver), versions: options.makeVersionDigest(), wantsIntroduction: requestIntroductionIfDue()},
@@ -186,7 +186,7 @@
 		const helpers = chooseIndirectProbers(task.getState(), target.id, indirectProbeCount, random);
 		const answers = await Promise.all(helpers.map(async helper => {
 			try {
-				const {isAlive} = await client.ask(helper.address, 'probeFor', {id: target.id}, addMilliseconds(clock.now(), probeEveryMs));
+				const {isAlive} = await client.call(helper.address, 'probeFor', {id: target.id}, addMilliseconds(clock.now(), probeEveryMs));
 				return isAlive;
 			} catch {
 				return false;
@@ -241,7 +241,7 @@
 			updateMetrics();
 			// Jitter keeps daemons that started together from probing at the same moments.
 			const next = addMilliseconds(clock.now(), probeEveryMs * (0.9 + (random() * 0.2)));
-			await waitQuietly(clock, next, signal); // eslint-disable-line no-await-in-loop
+			await waitUntilOrAborted(clock, next, signal); // eslint-disable-line no-await-in-loop
 		}
 	};
 
@@ -249,7 +249,7 @@
 		getState: task.getState,
 		getSelf: () => task.getState().self,
 		listReachable: () => listReachable(task.getState()),
-		listSteady: () => listAssignable(task.getState()),
+		listAssignable: () => listAssignable(task.getState()),
 		findAddress: id => task.getState().members.get(id)?.address,
 		listPeers: () => [...task.getState().members.values()].filter(member => member.status !== 'dead'),
 		isProcessGone: (id, epoch) => isProcessGone(task.getState(), id, epoch),
--- a/packages/tasks/src/suspect-registry.ts
+++ b/packages/tasks/src/suspect-registry.ts
@@ -3,7 +3,7 @@
  * The log decides which daemon may run a suspected request a second time.
  */
 import {createHash} from 'node:crypto';
-import {isAnswering} from '@shallotpass/backends/engine-load.js';
+import {isResponding} from '@shallotpass/backends/engine-load.js';
 import {addMilliseconds} from '@shallotpass/common/types.js';
 import {
 	expireSuspects, removeSuspect, mergeSuspects, markSuspects, massReclaimWindowMs, type InFlight, type Suspect, type SuspectState,
@@ -79,7 +79,7 @@
 
 	const recordCrashIfConfirmed = async (backendId: string, inFlight: readonly InFlight[]): Promise<void> => {
 		const view = registry.getView(backendId);
-		if (view === undefined || await isAnswering(view.address, signal)) {
+		if (view === undefined || await isResponding(view.address, signal)) {
 			return;
 		}
 
--- a/packages/telemetry/src/tracing.ts
+++ b/packages/telemetry/src/tracing.ts
@@ -24,15 +24,15 @@
 /** Names of the spans, one for each step of a request. */
 export type SpanName = 'caller' | 'admission' | 'routing' | 'claim' | 'peer' | 'backend';
 
-export type Hop = {
-	readonly makeChild: (name: SpanName, attributes?: Readonly<Record<string, string | number>>) => Hop;
+export type TraceSpan = {
+	readonly startChild: (name: SpanName, attributes?: Readonly<Record<string, string | number>>) => TraceSpan;
 	readonly end: (error?: unknown) => void;
 	/** Returns the `traceparent` header value to send to the next process. */
 	readonly getTraceparent: () => string | undefined;
 };
 
 export type Tracing = {
-	readonly startHop: (name: SpanName, traceparent: string | undefined, attributes: Readonly<Record<string, string | number>>) => Hop;
+	readonly startSpan: (name: SpanName, traceparent: string | undefined, attributes: Readonly<Record<string, string | number>>) => TraceSpan;
 	readonly shutdown: () => Promise<void>;
 };
 
@@ -77,12 +77,12 @@
 	async shutdown() {/* the logger needs no shutdown */},
 });
 
-const startSpanInContext = (tracer: Tracer, name: SpanName, parent: Context, attributes: Readonly<Record<string, string | number>>): Hop => {
+const startSpanInContext = (tracer: Tracer, name: SpanName, parent: Context, attributes: Readonly<Record<string, string | number>>): TraceSpan => {
 	const kind = name === 'caller' ? SpanKind.SERVER : (name === 'backend' || name === 'peer' ? SpanKind.CLIENT : SpanKind.INTERNAL);
 	const span: Span = tracer.startSpan(name, {kind, attributes: {...attributes}}, parent);
 	const ownContext = trace.setSpan(parent, span);
 	return {
-		makeChild: (child, childAttributes = {}) => startSpanInContext(tracer, child, ownContext, childAttributes),
+		startChild: (child, childAttributes = {}) => startSpanInContext(tracer, child, ownContext, childAttributes),
 		end(error) {
 			if (error !== undefined) {
 				span.setStatus({code: SpanStatusCode.ERROR, message: error instanceof Error ? error.message : undefined});
@@ -112,7 +112,7 @@
 	});
 	const tracer = provider.getTracer('shallotpass');
 	return {
-		startHop: (name, traceparent, attributes) => startSpanInContext(tracer, name, parseParentContext(traceparent), attributes),
+		startSpan: (name, traceparent, attributes) => startSpanInContext(tracer, name, parseParentContext(traceparent), attributes),
 		async shutdown() {
 			try {
 				await provider.shutdown();
--- a/scripts/measure/src/caller-client.ts
+++ b/scripts/measure/src/caller-client.ts
@@ -8,13 +8,13 @@
 	readonly text: string;
 	readonly tokens: number;
 	readonly chunks: number;
-	readonly isWhole: boolean;
+	readonly isComplete: boolean;
 	/** The error that refused the request or ended the stream. */
 	readonly problem: {readonly kind: string; readonly executed: string} | undefined;
 	readonly firstTokenMs: number | undefined;
 	readonly endMs: number;
 	/** Number of tokens that belong to another stream or are out of order. */
-	readonly strayTokens: number;
+	readonly unexpectedTokens: number;
 };
 
 type StreamOptions = {
@@ -31,7 +31,7 @@
 type Chunk = {readonly choices?: ReadonlyArray<{readonly delta?: {readonly content?: string}}>};
 
 /** Sends a streamed chat request and checks that each token is the next one expected. The stand-in engine's tokens consist of the marker and a running index. */
-export const askStream = async (options: StreamOptions): Promise<StreamResult> => {
+export const streamChat = async (options: StreamOptions): Promise<StreamResult> => {
 	const {address, marker, tokens: maxTokens, prompt = '', headers = {}, dispatcher, signal} = options;
 	const startedAt = performance.now();
 	const response = await request(`http://${address}/v1/chat/completions`, {
@@ -49,20 +49,20 @@
 	if (response.statusCode !== 200) {
 		const problem = await response.body.json() as StreamResult['problem'];
 		return {
-			status: response.statusCode, text: '', tokens: 0, chunks: 0, isWhole: false, problem, firstTokenMs: undefined, endMs: performance.now() - startedAt, strayTokens: 0,
+			status: response.statusCode, text: '', tokens: 0, chunks: 0, isComplete: false, problem, firstTokenMs: undefined, endMs: performance.now() - startedAt, unexpectedTokens: 0,
 		};
 	}
 
 	let text = '';
 	let tokens = 0;
 	let chunks = 0;
-	let strayTokens = 0;
-	let isWhole = false;
+	let unexpectedTokens = 0;
+	let isComplete = false;
 	let problem: StreamResult['problem'];
 	let firstTokenMs: number | undefined;
 	const handleToken = (content: string): void => {
 		firstTokenMs ??= performance.now() - startedAt;
-		strayTokens += content === `${marker}:${tokens} ` ? 0 : 1;
+		unexpectedTokens += content === `${marker}:${tokens} ` ? 0 : 1;
 		options.onToken?.(tokens);
 		tokens++;
 		text += content;
@@ -76,7 +76,7 @@
 			}
 
 			if (data === '[DONE]') {
-				isWhole = true;
+				isComplete = true;
 				return;
 			}
 
@@ -93,7 +93,7 @@
 	}
 
 	return {
-		status: 200, text, tokens, chunks, isWhole: isWhole && tokens === maxTokens, problem, firstTokenMs, endMs: performance.now() - startedAt, strayTokens,
+		status: 200, text, tokens, chunks, isComplete: isComplete && tokens === maxTokens, problem, firstTokenMs, endMs: performance.now() - startedAt, unexpectedTokens,
 	};
 };
 
@@ -115,7 +115,7 @@
 };
 
 /** Sends a reservation; `key` is its idempotency key. */
-export const reserve = async ({address, key, body, path = '/services/reservations/reserve', headers = {}, dispatcher, signal}: ReserveOptions): Promise<CallResult> => {
+export const sendReservation = async ({address, key, body, path = '/services/reservations/reserve', headers = {}, dispatcher, signal}: ReserveOptions): Promise<CallResult> => {
 	const response = await request(`http://${address}${path}`, {
 		method: 'POST',
 		headers: {
--- a/scripts/measure/src/claims-experiment.ts
+++ b/scripts/measure/src/claims-experiment.ts
@@ -2,9 +2,9 @@
 import {Agent} from 'undici';
 import {z} from 'zod';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
-import {reserve, type CallResult} from './caller-client.js';
+import {sendReservation, type CallResult} from './caller-client.js';
 import {
-	applyThrough,
+	applyConfiguration,
 	countMembers,
 	makeConfigurationText,
 	makeSettings,
@@ -58,9 +58,9 @@
 		const counts = await Promise.all(daemons.map(async daemon => countMembers(daemon.admin!)));
 		return counts.every(known => known === count);
 	});
-	await applyThrough({admin: daemons[0]!.admin!}, makeConfigurationText());
+	await applyConfiguration({admin: daemons[0]!.admin!}, makeConfigurationText());
 	await waitFor('all daemons serve reservations', async () => {
-		const results = await Promise.all(daemons.map(async (daemon, index) => reserve({address: daemon.address, key: `ready-${index}-${Math.random()}`, body: '{}'})));
+		const results = await Promise.all(daemons.map(async (daemon, index) => sendReservation({address: daemon.address, key: `ready-${index}-${Math.random()}`, body: '{}'})));
 		return results.every(result => result.status === 200);
 	});
 	return {
@@ -128,7 +128,7 @@
 		beforeCall?.();
 		const daemon = fleet.daemons[Math.floor(random() * fleet.daemons.length)]!;
 		const callStartedAt = performance.now();
-		const result = await reserve({
+		const result = await sendReservation({
 			address: daemon.address, key: name, body: JSON.stringify({name}), dispatcher,
 		});
 		latencies.record(performance.now() - callStartedAt);
@@ -173,7 +173,7 @@
 		for (let count = 0; count < options.calls / options.concurrency; count++) {
 			const startedAt = performance.now();
 			// eslint-disable-next-line no-await-in-loop -- a caller waits for its response
-			await reserve({
+			await sendReservation({
 				address: fleet.daemons[index % fleet.daemons.length]!.address, key: undefined, body: '{}', path: '/services/catalogue/x', dispatcher,
 			});
 			latencies.record(performance.now() - startedAt);
--- a/scripts/measure/src/configuration-experiment.ts
+++ b/scripts/measure/src/configuration-experiment.ts
@@ -1,7 +1,7 @@
 /** Measures the time until an applied configuration is in force in each zone, with and without network partitions. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {z} from 'zod';
-import {applyThrough, makeConfigurationText, waitFor} from './local-fleet.js';
+import {applyConfiguration, makeConfigurationText, waitFor} from './local-fleet.js';
 import {
 	getQuantiles, makeLatencies, round, type Latencies,
 } from './latencies.js';
@@ -49,11 +49,11 @@
 
 const setPartition = (fleet: ZonedFleet, zones: readonly Zone[], partition: PartitionKind, isPartitioned: boolean): void => {
 	for (const zone of zones) {
-		zone.setPlatform(isPartitioned ? 'cut' : 'open');
+		zone.setPlatformRelayMode(isPartitioned ? 'cut' : 'open');
 	}
 
 	if (partition === 'platform_and_peers') {
-		fleet.separate(isPartitioned ? zones : []);
+		fleet.isolateZones(isPartitioned ? zones : []);
 	}
 };
 
@@ -68,7 +68,7 @@
 		/* eslint-disable no-await-in-loop -- changes are sequential */
 		await sleep(50);
 		const startedAt = performance.now();
-		const applied = await applyThrough(connectedZones[0]!.daemons[0]!, makeConfigurationText(`${partition} ${isolatedCount} ${index}`));
+		const applied = await applyConfiguration(connectedZones[0]!.daemons[0]!, makeConfigurationText(`${partition} ${isolatedCount} ${index}`));
 		const version = applied.body.version!;
 		const reachableZones = partition === 'platform' ? fleet.zones : connectedZones;
 		await Promise.all(reachableZones.map(async zone => waitForZone(zone, version, startedAt, zoneLatencies[fleet.zones.indexOf(zone)]!)));
--- a/scripts/measure/src/fleet-experiment.ts
+++ b/scripts/measure/src/fleet-experiment.ts
@@ -1,6 +1,6 @@
 /** Compares the cost of a day of demand under different fleet sizing policies, with the same requests and reclaims. */
 import {z} from 'zod';
-import {runDays} from './fleet/day-thread.js';
+import {runDays} from './fleet/run-days.js';
 import {fleetPolicies} from './fleet/fleet-policies.js';
 import {type DayPlan, type DaySummary} from './fleet/run-day.js';
 import {round} from './latencies.js';
--- a/scripts/measure/src/fleet/fleet-policies.ts
+++ b/scripts/measure/src/fleet/fleet-policies.ts
@@ -45,7 +45,7 @@
 const scaleByUtilization = (view: FleetView): FleetPlan => {
 	const current = [...view.instances.filter(instance => !instance.isLeaving), ...view.openOrders];
 	const places = current.reduce((sum, item) => sum + (view.offers.find(offer => makeOfferKey(offer) === makeOfferKey(item))?.places ?? 0), 0);
-	const utilization = places === 0 ? 1 : view.demandPlaces / places;
+	const utilization = places === 0 ? 1 : view.demandSlots / places;
 	const refused = new Set(view.refusals.filter(refusal => refusal.until > view.now).map(refusal => refusal.offer));
 	const cheapest = view.offers
 		.filter(offer => offer.isReclaimable && !refused.has(makeOfferKey(offer)))
@@ -73,7 +73,7 @@
 		isBaseline: false,
 		smoothing: {fallMs: 60_000, slopeMs: 4000},
 		makePlanner: () => makeFleetPlanner({
-			headroom: 1.3, peakReserve: 6, minPlaces: 30, minRuntimeMs: 60_000,
+			headroom: 1.3, peakReserve: 6, minSlots: 30, minRuntimeMs: 60_000,
 		}),
 	},
 ];
--- a/scripts/measure/src/fleet/memory-cloud.ts
+++ b/scripts/measure/src/fleet/memory-cloud.ts
@@ -20,9 +20,9 @@
 	readonly instances: readonly MemoryInstance[];
 	readonly listRunning: () => MemoryInstance[];
 	/** Announces the end of the running instances that match, and returns them. */
-	readonly announce: (isAffected: (instance: MemoryInstance) => boolean) => MemoryInstance[];
+	readonly announceTermination: (isAffected: (instance: MemoryInstance) => boolean) => MemoryInstance[];
 	/** Ends the instances at once. */
-	readonly takeAway: (instances: readonly MemoryInstance[]) => void;
+	readonly terminate: (instances: readonly MemoryInstance[]) => void;
 	/** Counts the start requests, including those that failed. */
 	readonly countStartCalls: () => number;
 };
@@ -51,7 +51,7 @@
 		soldOut,
 		instances,
 		listRunning,
-		announce(isAffected) {
+		announceTermination(isAffected) {
 			const leaving = instances.filter(instance => instance.endedAt === undefined && isAffected(instance));
 			for (const instance of leaving) {
 				instance.isLeaving = true;
@@ -59,7 +59,7 @@
 
 			return leaving;
 		},
-		takeAway(terminated) {
+		terminate(terminated) {
 			for (const instance of terminated) {
 				instance.endedAt ??= now();
 			}
--- a/scripts/measure/src/fleet/run-day.ts
+++ b/scripts/measure/src/fleet/run-day.ts
@@ -13,19 +13,19 @@
 import {chooseLowestCost} from '@shallotpass/core/routing/policies.js';
 import {type ListedInstance} from '@shallotpass/common/instance-list.js';
 import {makeMemoryLog} from '@shallotpass/provider/memory-log.js';
-import {makeFleetDuty, type FleetDemand, type FleetDuty} from '@shallotpass/tasks/fleet-duty.js';
+import {makeFleetScaler, type FleetDemand, type FleetScaler} from '@shallotpass/tasks/fleet-scaler.js';
 import {makeLogger} from '@shallotpass/telemetry/logger.js';
 import {makeMetrics} from '@shallotpass/telemetry/metrics.js';
 import {round} from '../latencies.js';
 import {makeSettings} from '../local-fleet.js';
-import {computePlaces, type Deployment} from '../routing/deployment.js';
+import {computeSlots, type Deployment} from '../routing/deployment.js';
 import {
-	chatService, makeEntryDaemon, type ChatResult, type EntryDaemon,
-} from '../routing/entry-daemon.js';
-import {makeHostedEngine, type HostedEngine} from '../routing/hosted-engine.js';
+	chatService, makeSimulatedDaemon, type ChatResult, type SimulatedDaemon,
+} from '../routing/simulated-daemon.js';
+import {makeSimulatedEngine, type SimulatedEngine} from '../routing/simulated-engine.js';
 import {makeManualClock, type ManualClock} from '../routing/manual-clock.js';
 import {makeRequests, type ChatArrival} from '../routing/make-requests.js';
-import {isWithin} from '../routing/summarize-run.js';
+import {isWithinTarget} from '../routing/summarize-run.js';
 import {findFleetPolicy} from './fleet-policies.js';
 import {makeMemoryCloud, type MemoryCloud, type MemoryInstance} from './memory-cloud.js';
 
@@ -86,8 +86,8 @@
 	readonly plan: DayPlan;
 	readonly clock: ManualClock;
 	readonly cloud: MemoryCloud;
-	readonly engines: Map<string, HostedEngine>;
-	readonly daemons: readonly EntryDaemon[];
+	readonly engines: Map<string, SimulatedEngine>;
+	readonly daemons: readonly SimulatedDaemon[];
 	/** Instances in the list that the daemons get, by their id. */
 	readonly listedInstances: Map<string, ListedInstance>;
 	/** Ids of the instances that received a request. */
@@ -119,7 +119,7 @@
 	machineClass: machine.name,
 	isReclaimable,
 	creditsPerHour: machine.price * (isReclaimable ? 1 : onDemandPriceFactor),
-	places: computePlaces(deployment, machine),
+	places: computeSlots(deployment, machine),
 }))));
 
 /** Sends the current instance list to all daemons. */
@@ -136,7 +136,7 @@
 	let hasChanged = false;
 	for (const [id, engine] of day.engines) {
 		if (!running.has(id) && day.listedInstances.delete(id)) {
-			engine.takeAway();
+			engine.terminate();
 			hasChanged = true;
 		}
 	}
@@ -155,14 +155,14 @@
 
 const addEngine = ({plan, engines, listedInstances, clock}: DaySimulation, {id, availabilityZone, machineClass}: MemoryInstance): void => {
 	const machine = plan.deployment.machine.find(item => item.name === machineClass)!;
-	engines.set(id, makeHostedEngine({id, availabilityZone, machine}, clock));
+	engines.set(id, makeSimulatedEngine({id, availabilityZone, machine}, clock));
 	listedInstances.set(id, {
 		id, address: id, role: 'backend', availabilityZone, machineClass, state: 'live', services: [chatService],
 	});
 };
 
 const reportLoads = ({daemons, engines, listedInstances}: DaySimulation): void => {
-	for (const {id, getReport} of engines.values()) {
+	for (const {id, getLoadReport: getReport} of engines.values()) {
 		if (listedInstances.has(id)) {
 			for (const {registry} of daemons) {
 				registry.applyLoadReport(id, getReport());
@@ -192,7 +192,7 @@
 const reclaimZone = (day: DaySimulation, availabilityZone: string): void => {
 	const {cloud, clock} = day;
 	const leavesAt = clock.now() + noticeMs;
-	const leaving = cloud.announce(instance => instance.availabilityZone === availabilityZone && instance.isReclaimable);
+	const leaving = cloud.announceTermination(instance => instance.availabilityZone === availabilityZone && instance.isReclaimable);
 	const offers = listOffers(day.plan.deployment).filter(offer => offer.availabilityZone === availabilityZone && offer.isReclaimable).map(offer => makeOfferKey(offer));
 	for (const {id} of leaving) {
 		announceEnd(day, id, leavesAt);
@@ -203,7 +203,7 @@
 	}
 
 	clock.schedule(leavesAt, () => {
-		cloud.takeAway(leaving);
+		cloud.terminate(leaving);
 		syncInstances(day);
 	});
 	clock.schedule(leavesAt + startRefusalMs, () => {
@@ -221,18 +221,18 @@
 	return () => {
 		const openRequests = countOpenRequests();
 		if (smoothing === undefined) {
-			return {offers, fixedPlaces: 0, demandPlaces: openRequests};
+			return {offers, fixedSlots: 0, demandSlots: openRequests};
 		}
 
 		smoothed = smoothDemand(smoothed, openRequests, day.clock.now(), smoothing);
-		return {offers, fixedPlaces: 0, demandPlaces: forecastDemand(smoothed, instanceStartMs)};
+		return {offers, fixedSlots: 0, demandSlots: forecastDemand(smoothed, instanceStartMs)};
 	};
 };
 
-const makeDuties = (day: DaySimulation, countOpenRequests: () => number, random: () => number): FleetDuty[] => {
+const makeDuties = (day: DaySimulation, countOpenRequests: () => number, random: () => number): FleetScaler[] => {
 	const log = makeMemoryLog(day.clock);
 	const plan = findFleetPolicy(day.plan.policy).makePlanner(day.plan.deployment);
-	return listZones(day.plan.deployment).map((availabilityZone, index) => makeFleetDuty({
+	return listZones(day.plan.deployment).map((availabilityZone, index) => makeFleetScaler({
 		environment: {
 			settings: makeSettings({id: `entry-${index}`, availabilityZone, platform: undefined}),
 			clock: day.clock,
@@ -259,11 +259,11 @@
 const makeDaySimulation = (plan: DayPlan): DaySimulation => {
 	const clock = makeManualClock();
 	const random = makeRandom(plan.seed + 1);
-	const engines = new Map<string, HostedEngine>();
-	const daemons: EntryDaemon[] = [];
+	const engines = new Map<string, SimulatedEngine>();
+	const daemons: SimulatedDaemon[] = [];
 	const usedInstances = new Set<string>();
 	for (let index = 0; index < plan.deployment.daemons; index++) {
-		daemons.push(makeEntryDaemon({
+		daemons.push(makeSimulatedDaemon({
 			index,
 			deployment: plan.deployment,
 			clock,
@@ -296,7 +296,7 @@
 
 const summarize = (day: DaySimulation, results: readonly ChatResult[], unanswered: number, credits: number): DaySummary => {
 	const {plan, cloud, usedInstances} = day;
-	const countWithinTarget = (list: readonly ChatResult[]): number => list.filter(result => isWithin(result, plan.deployment.class.find(item => item.name === result.arrival.class)!)).length;
+	const countWithinTarget = (list: readonly ChatResult[]): number => list.filter(result => isWithinTarget(result, plan.deployment.class.find(item => item.name === result.arrival.class)!)).length;
 	const withinCount = countWithinTarget(results);
 	return {
 		policy: plan.policy,
@@ -308,7 +308,7 @@
 			return {class: name, withinTarget: round(countWithinTarget(classResults) / Math.max(1, classResults.length), 4)};
 		}),
 		asked: results.length + unanswered,
-		refused: results.filter(result => result.refusedAs !== undefined).length,
+		refused: results.filter(result => result.errorKind !== undefined).length,
 		unanswered,
 		instances: cloud.instances.length,
 		neverUsed: cloud.instances.filter(instance => !usedInstances.has(instance.id)).length,
@@ -335,7 +335,7 @@
 		});
 	}
 
-	const serve = async (arrival: ChatArrival, daemon: EntryDaemon): Promise<void> => {
+	const serve = async (arrival: ChatArrival, daemon: SimulatedDaemon): Promise<void> => {
 		openRequests++;
 		results.push(await daemon.serve(arrival));
 		openRequests--;
--- a/scripts/measure/src/history-experiment.ts
+++ b/scripts/measure/src/history-experiment.ts
@@ -3,11 +3,11 @@
 import {z} from 'zod';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
 import {findViolations} from './history/check-history.js';
-import {chaosActions} from './history/storm-actions.js';
-import {runReservationCaller, runStreamCaller, recordVersions} from './history/storm-callers.js';
+import {chaosActions} from './history/chaos-actions.js';
+import {runReservationCaller, runStreamCaller, recordVersions} from './history/chaos-callers.js';
 import {
 	closeChaosCluster, collectArrivals, getDaemonId, pickRandom, startChaosCluster, type ChaosCluster,
-} from './history/storm-world.js';
+} from './history/chaos-cluster.js';
 import {type CallEvent, type History, type CallOutcome} from './history/types.js';
 import {waitFor} from './local-fleet.js';
 import {type Experiment, type Report} from './experiment.js';
@@ -46,7 +46,7 @@
 };
 
 const recordFinalVersions = async ({history, daemons}: ChaosCluster): Promise<void> => {
-	const newest = Math.max(...history.accepted.map(entry => entry.version));
+	const newest = Math.max(...history.acceptedVersions.map(entry => entry.version));
 	try {
 		await waitFor('the newest configuration is in force', () => daemons.every(daemon => daemon.getVersion('default') >= newest));
 	} catch {
@@ -57,7 +57,7 @@
 };
 
 /** Runs the actions and callers of a chaos run and returns its history. */
-export const runStorm = async (options: ChaosOptions, printLine: (line: string) => void): Promise<History> => {
+export const runChaos = async (options: ChaosOptions, printLine: (line: string) => void): Promise<History> => {
 	const random = makeRandom(options.seed);
 	const cluster = await startChaosCluster({...options, random});
 	try {
@@ -78,13 +78,13 @@
 	}
 };
 
-const countOutcome = (calls: readonly CallEvent[], outcome: CallOutcome): number => calls.filter(call => call.told === outcome).length;
+const countOutcome = (calls: readonly CallEvent[], outcome: CallOutcome): number => calls.filter(call => call.outcome === outcome).length;
 
 const run = async (options: ChaosOptions, printLine: (line: string) => void): Promise<Report> => {
-	const history = await runStorm(options, printLine);
+	const history = await runChaos(options, printLine);
 	const violations = findViolations(history);
-	for (const {promise, detail} of violations) {
-		printLine(`BROKEN ${promise}: ${detail}`);
+	for (const {guarantee, detail} of violations) {
+		printLine(`BROKEN ${guarantee}: ${detail}`);
 	}
 
 	return {
@@ -98,8 +98,8 @@
 		cut: countOutcome(history.calls, 'cut'),
 		notices: history.notices.length,
 		stops: history.stops.length,
-		harms: history.harms.length,
-		versions: history.accepted.length,
+		harms: history.faults.length,
+		versions: history.acceptedVersions.length,
 	};
 };
 
--- a/scripts/measure/src/history/storm-actions.ts
+++ b/scripts/measure/src/history/chaos-actions.ts
@@ -1,11 +1,11 @@
 /** The actions of a chaos run. Each action repairs what it broke before it ends, except that stopped daemons are not replaced. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {type Daemon} from '@shallotpass/daemon/start-daemon.js';
-import {applyThrough, makeConfigurationText} from '../local-fleet.js';
-import {askAndRecord} from './storm-callers.js';
+import {applyConfiguration, makeConfigurationText} from '../local-fleet.js';
+import {streamChatAndRecord} from './chaos-callers.js';
 import {
 	crashMarker, getDaemonId, pickRandom, replaceEngines, type ChaosEngine, type ChaosCluster,
-} from './storm-world.js';
+} from './chaos-cluster.js';
 
 export type ChaosAction = {
 	readonly name: string;
@@ -55,7 +55,7 @@
 	const at = Date.now();
 	for (const {id} of engines) {
 		cluster.history.notices.push({backend: id, at, leavesAt: at + noticeMs});
-		cluster.fleet.platform.cloud.giveNotice(id, at + noticeMs);
+		cluster.fleet.platform.cloud.announceReclaim(id, at + noticeMs);
 	}
 
 	await sleep(engines.length === 0 ? 0 : noticeMs);
@@ -68,8 +68,8 @@
 	try {
 		await injectFault();
 	} finally {
-		cluster.history.harms.push({
-			what: description, daemon, from, to: Date.now() + settleMs,
+		cluster.history.faults.push({
+			description, daemon, from, to: Date.now() + settleMs,
 		});
 	}
 };
@@ -106,9 +106,9 @@
 /** Applies a configuration and records it if accepted. The call may fail because its daemon is stopped meanwhile. */
 const applyAndRecord = async (cluster: ChaosCluster, daemon: Daemon, label: string, base: number): Promise<void> => {
 	try {
-		const answer = await applyThrough(daemon, makeConfigurationText(`${label} ${cluster.random()}`), base);
+		const answer = await applyConfiguration(daemon, makeConfigurationText(`${label} ${cluster.random()}`), base);
 		if (answer.status === acceptedStatus) {
-			cluster.history.accepted.push({version: answer.body.version!, at: Date.now()});
+			cluster.history.acceptedVersions.push({version: answer.body.version!, at: Date.now()});
 		}
 	} catch {
 		// Without a response the operator was given no guarantee, so there is nothing to check.
@@ -136,7 +136,7 @@
 		async perform(cluster) {
 			const engines = holdRandomEngine(cluster);
 			for (const {id} of engines) {
-				cluster.fleet.platform.cloud.giveNotice(id, Date.now() + noticeMs);
+				cluster.fleet.platform.cloud.announceReclaim(id, Date.now() + noticeMs);
 			}
 
 			await sleep(cluster.random() * settleMs);
@@ -170,9 +170,9 @@
 		async perform(cluster) {
 			const zone = pickRandom(cluster.fleet.zones, cluster.random);
 			await injectAndRecord(cluster, 'network partition from the platform', async () => {
-				zone.setPlatform('cut');
+				zone.setPlatformRelayMode('cut');
 				await sleep(outageMs);
-				zone.setPlatform('open');
+				zone.setPlatformRelayMode('open');
 			});
 		},
 	},
@@ -180,9 +180,9 @@
 		name: 'a zone is cut off from the others',
 		async perform(cluster) {
 			await injectAndRecord(cluster, 'network partition between zones', async () => {
-				cluster.fleet.separate([pickRandom(cluster.fleet.zones, cluster.random)]);
+				cluster.fleet.isolateZones([pickRandom(cluster.fleet.zones, cluster.random)]);
 				await sleep(outageMs);
-				cluster.fleet.separate([]);
+				cluster.fleet.isolateZones([]);
 			});
 		},
 	},
@@ -191,9 +191,9 @@
 		async perform(cluster) {
 			const zone = pickRandom(cluster.fleet.zones, cluster.random);
 			await injectAndRecord(cluster, 'open connections dropped silently', async () => {
-				zone.setPlatform('forgetful');
+				zone.setPlatformRelayMode('forgetful');
 				await sleep(outageMs);
-				zone.setPlatform('open');
+				zone.setPlatformRelayMode('open');
 			});
 		},
 	},
@@ -226,11 +226,11 @@
 		async perform(cluster) {
 			const key = `${crashMarker}${Math.floor(cluster.random() * 1_000_000)}`;
 			for (let attempt = 0; attempt < 4; attempt++) {
-				await askAndRecord(cluster, key, 5); // eslint-disable-line no-await-in-loop -- each attempt follows the previous one's failure
+				await streamChatAndRecord(cluster, key, 5); // eslint-disable-line no-await-in-loop -- each attempt follows the previous one's failure
 			}
 
 			const crashed = cluster.allEngines.filter(engine => engine.server.arrivals.some(arrival => arrival.marker === key));
-			cluster.history.crashedBy.push({key, backends: crashed.length});
+			cluster.history.crashingRequests.push({key, backends: crashed.length});
 			await replaceEngines(cluster, crashed.filter(engine => cluster.engines.includes(engine) && !cluster.busyEngines.has(engine.id)));
 		},
 	},
--- a/scripts/measure/src/history/storm-callers.ts
+++ b/scripts/measure/src/history/chaos-callers.ts
@@ -1,9 +1,9 @@
 /** Callers of a chaos run: they send requests in a loop, verify the responses and record them in the history. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
-	askStream, reserve, type CallResult, type StreamResult,
+	streamChat, sendReservation, type CallResult, type StreamResult,
 } from '../caller-client.js';
-import {getDaemonId, pickRandom, type ChaosCluster} from './storm-world.js';
+import {getDaemonId, pickRandom, type ChaosCluster} from './chaos-cluster.js';
 import {type CallEvent, type CallOutcome} from './types.js';
 
 /** Pause between the requests of one caller, and between two polls of the versions. */
@@ -20,19 +20,19 @@
 	return problem.executed === 'no' ? 'not_run' : 'unknown';
 };
 
-const toStreamOutcome = (result: StreamResult): Pick<CallEvent, 'told' | 'errorKind' | 'isOwnAnswer'> => ({
-	told: result.isWhole ? 'answered' : getFailureOutcome(result.problem),
+const toStreamOutcome = (result: StreamResult): Pick<CallEvent, 'outcome' | 'errorKind' | 'isOwnAnswer'> => ({
+	outcome: result.isComplete ? 'answered' : getFailureOutcome(result.problem),
 	errorKind: result.problem?.kind,
-	isOwnAnswer: result.strayTokens === 0,
+	isOwnAnswer: result.unexpectedTokens === 0,
 });
 
-const toReservationOutcome = (result: CallResult, body: string): Pick<CallEvent, 'told' | 'errorKind' | 'isOwnAnswer'> => result.status === 200
-	? {told: 'answered', errorKind: undefined, isOwnAnswer: result.body.echo === body}
-	: {told: getFailureOutcome(result.body), errorKind: String(result.body.kind), isOwnAnswer: true};
+const toReservationOutcome = (result: CallResult, body: string): Pick<CallEvent, 'outcome' | 'errorKind' | 'isOwnAnswer'> => result.status === 200
+	? {outcome: 'answered', errorKind: undefined, isOwnAnswer: result.body.echo === body}
+	: {outcome: getFailureOutcome(result.body), errorKind: String(result.body.kind), isOwnAnswer: true};
 
-const cutOffOutcome = {told: 'cut', errorKind: undefined, isOwnAnswer: true} as const;
+const cutOffOutcome = {outcome: 'cut', errorKind: undefined, isOwnAnswer: true} as const;
 
-type SendCall = (address: string) => Promise<Pick<CallEvent, 'told' | 'errorKind' | 'isOwnAnswer'>>;
+type SendCall = (address: string) => Promise<Pick<CallEvent, 'outcome' | 'errorKind' | 'isOwnAnswer'>>;
 
 const sendOrCutOff = async (sendCall: SendCall, address: string): ReturnType<SendCall> => {
 	try {
@@ -57,16 +57,16 @@
 	return event;
 };
 
-export const askAndRecord = async (cluster: ChaosCluster, marker: string, tokens: number): Promise<CallEvent> =>
-	recordCall(cluster, {kind: 'stream', key: marker}, async address => toStreamOutcome(await askStream({address, marker, tokens})));
+export const streamChatAndRecord = async (cluster: ChaosCluster, marker: string, tokens: number): Promise<CallEvent> =>
+	recordCall(cluster, {kind: 'stream', key: marker}, async address => toStreamOutcome(await streamChat({address, marker, tokens})));
 
 /** Retries a reservation with the same key until it is answered or the attempts are used up. */
 const reserveUntilKnown = async (cluster: ChaosCluster, key: string): Promise<void> => {
 	const body = JSON.stringify({key});
 	for (let attempt = 0; attempt < maxAttempts; attempt++) {
 		// eslint-disable-next-line no-await-in-loop -- a retry follows the previous response
-		const event = await recordCall(cluster, {kind: 'once', key: body}, async address => toReservationOutcome(await reserve({address, key, body}), body));
-		if (event.told === 'answered') {
+		const event = await recordCall(cluster, {kind: 'once', key: body}, async address => toReservationOutcome(await sendReservation({address, key, body}), body));
+		if (event.outcome === 'answered') {
 			return;
 		}
 
@@ -77,7 +77,7 @@
 export const runStreamCaller = async (cluster: ChaosCluster, caller: number, tokens: number): Promise<void> => {
 	for (let index = 0; !cluster.isOver; index++) {
 		/* eslint-disable no-await-in-loop -- requests are sequential */
-		await askAndRecord(cluster, `s${caller}-${index}`, tokens);
+		await streamChatAndRecord(cluster, `s${caller}-${index}`, tokens);
 		await sleep(pauseMs);
 		/* eslint-enable no-await-in-loop */
 	}
--- a/scripts/measure/src/history/storm-world.ts
+++ b/scripts/measure/src/history/chaos-cluster.ts
@@ -2,7 +2,7 @@
 import {type Daemon} from '@shallotpass/daemon/start-daemon.js';
 import {startEngineStandIn, type EngineStandIn} from '@shallotpass/stand-ins/engine-stand-in.js';
 import {startPlainServiceStandIn, type PlainServiceStandIn} from '@shallotpass/stand-ins/plain-service-stand-in.js';
-import {applyThrough, makeConfigurationText, waitFor} from '../local-fleet.js';
+import {applyConfiguration, makeConfigurationText, waitFor} from '../local-fleet.js';
 import {makeJumpingClock, type JumpingClock} from '../jumping-clock.js';
 import {startZonedFleet, type ZonedFleet} from '../zoned-fleet.js';
 import {makeHistory, type History} from './types.js';
@@ -104,8 +104,8 @@
 		await Promise.all(Array.from({length: enginesPerZone}, async () => startChaosEngine(cluster, zone.name))); // eslint-disable-line no-await-in-loop -- few zones
 	}
 
-	const applied = await applyThrough(fleet.daemons[0]!, makeConfigurationText());
-	cluster.history.accepted.push({version: applied.body.version!, at: Date.now()});
+	const applied = await applyConfiguration(fleet.daemons[0]!, makeConfigurationText());
+	cluster.history.acceptedVersions.push({version: applied.body.version!, at: Date.now()});
 	await waitFor('the configuration is in force', () => fleet.daemons.every(daemon => daemon.getVersion('default') === applied.body.version));
 	const backends = cluster.engines.length + cluster.services.length;
 	await waitFor('the backend servers are known', async () => {
--- a/scripts/measure/src/history/check-history.ts
+++ b/scripts/measure/src/history/check-history.ts
@@ -2,11 +2,11 @@
 import {type CallEvent, type FaultEvent, type History} from './types.js';
 
 export type Violation = {
-	readonly promise: PromiseName;
+	readonly guarantee: GuaranteeName;
 	readonly detail: string;
 };
 
-export type PromiseName =
+export type GuaranteeName =
 	| 'accepted work survives announced reclaims'
 	| 'callers get their own answers whole'
 	| 'what was said not to have run did not run'
@@ -32,14 +32,14 @@
 	const hasDaemonCrashed = history.stops.some(stop => !stop.isPlanned && stop.daemon === call.daemon && stop.at <= call.endedAt);
 	// An outcome lost in one attempt at a reservation stays lost in the later attempts.
 	const mayOutcomeBeLost = (): boolean => history.calls
-		.some(attempt => attempt.key === call.key && history.harms.some(fault => overlaps(attempt, fault)));
-	const hasDaemonFault = history.harms.some(fault => fault.daemon === call.daemon && overlaps(call, fault));
-	return hasDaemonCrashed || hasDaemonFault || (call.kind === 'once' && call.told !== 'cut' && mayOutcomeBeLost());
+		.some(attempt => attempt.key === call.key && history.faults.some(fault => overlaps(attempt, fault)));
+	const hasDaemonFault = history.faults.some(fault => fault.daemon === call.daemon && overlaps(call, fault));
+	return hasDaemonCrashed || hasDaemonFault || (call.kind === 'once' && call.outcome !== 'cut' && mayOutcomeBeLost());
 };
 
 const findUnansweredCalls = (history: History): string[] => history.calls
-	.filter(call => (call.told === 'unknown' || call.told === 'cut') && call.errorKind !== 'request_quarantined' && !isFailureAllowed(history, call))
-	.map(call => `${call.kind} ${call.key} at ${call.daemon} ended as ${call.errorKind ?? call.told}`);
+	.filter(call => (call.outcome === 'unknown' || call.outcome === 'cut') && call.errorKind !== 'request_quarantined' && !isFailureAllowed(history, call))
+	.map(call => `${call.kind} ${call.key} at ${call.daemon} ended as ${call.errorKind ?? call.outcome}`);
 
 const findWrongAnswers = (history: History): string[] => history.calls
 	.filter(call => !call.isOwnAnswer)
@@ -48,7 +48,7 @@
 const findExecutedRefusals = (history: History): string[] => {
 	const alwaysRefused = new Map<string, boolean>();
 	for (const call of history.calls) {
-		alwaysRefused.set(call.key, (alwaysRefused.get(call.key) ?? true) && call.told === 'not_run');
+		alwaysRefused.set(call.key, (alwaysRefused.get(call.key) ?? true) && call.outcome === 'not_run');
 	}
 
 	return [...new Set(history.arrivals.map(arrival => arrival.key))]
@@ -74,7 +74,7 @@
 const findCutOffCalls = (history: History): string[] => history.stops
 	.filter(stop => stop.isPlanned)
 	.flatMap(stop => history.calls
-		.filter(call => call.daemon === stop.daemon && call.sentAt < stop.at && call.endedAt > stop.at && call.told === 'cut')
+		.filter(call => call.daemon === stop.daemon && call.sentAt < stop.at && call.endedAt > stop.at && call.outcome === 'cut')
 		.map(call => `${call.kind} ${call.key} was in flight when ${stop.daemon} was stopped and its connection was closed`));
 
 const findConfigurationViolations = (history: History): string[] => {
@@ -89,26 +89,26 @@
 		lastVersions.set(daemon, version);
 	}
 
-	const newest = Math.max(-1, ...history.accepted.map(entry => entry.version));
+	const newest = Math.max(-1, ...history.acceptedVersions.map(entry => entry.version));
 	return [...regressions, ...history.finalVersions
 		.filter(entry => entry.version < newest)
 		.map(entry => `${entry.daemon} ended with configuration version ${entry.version}, but version ${newest} was accepted`)];
 };
 
-const findCrashingRequests = (history: History): string[] => history.crashedBy
+const findCrashingRequests = (history: History): string[] => history.crashingRequests
 	.filter(entry => entry.backends > maxCrashedBackends)
 	.map(entry => `${entry.key} crashed ${entry.backends} backend servers`);
 
-const checks: ReadonlyArray<{readonly promise: PromiseName; readonly find: (history: History) => string[]}> = [
-	{promise: 'accepted work survives announced reclaims', find: findUnansweredCalls},
-	{promise: 'callers get their own answers whole', find: findWrongAnswers},
-	{promise: 'what was said not to have run did not run', find: findExecutedRefusals},
-	{promise: 'what must not repeat runs at most once', find: findRepeatedExecutions},
-	{promise: 'a leaving backend server gets nothing new', find: findLateArrivals},
-	{promise: 'a planned stop cuts off nothing', find: findCutOffCalls},
-	{promise: 'the configuration is in force everywhere and never goes back', find: findConfigurationViolations},
-	{promise: 'a crashing request ends at most two backend servers', find: findCrashingRequests},
+const checks: ReadonlyArray<{readonly guarantee: GuaranteeName; readonly find: (history: History) => string[]}> = [
+	{guarantee: 'accepted work survives announced reclaims', find: findUnansweredCalls},
+	{guarantee: 'callers get their own answers whole', find: findWrongAnswers},
+	{guarantee: 'what was said not to have run did not run', find: findExecutedRefusals},
+	{guarantee: 'what must not repeat runs at most once', find: findRepeatedExecutions},
+	{guarantee: 'a leaving backend server gets nothing new', find: findLateArrivals},
+	{guarantee: 'a planned stop cuts off nothing', find: findCutOffCalls},
+	{guarantee: 'the configuration is in force everywhere and never goes back', find: findConfigurationViolations},
+	{guarantee: 'a crashing request ends at most two backend servers', find: findCrashingRequests},
 ];
 
 export const findViolations = (history: History): Violation[] =>
-	checks.flatMap(({promise, find}) => find(history).map(detail => ({promise, detail})));
+	checks.flatMap(({guarantee, find}) => find(history).map(detail => ({guarantee, detail})));
--- a/scripts/measure/src/history/types.ts
+++ b/scripts/measure/src/history/types.ts
@@ -17,7 +17,7 @@
 	/** Milliseconds since the Unix epoch, as are all times in this file. */
 	readonly sentAt: number;
 	readonly endedAt: number;
-	readonly told: CallOutcome;
+	readonly outcome: CallOutcome;
 	readonly errorKind: string | undefined;
 	/** Whether everything that the caller received belongs to its own request and is in order; complete too if the call was answered. */
 	readonly isOwnAnswer: boolean;
@@ -53,7 +53,7 @@
 
 /** An injected fault other than an announced reclaim or a planned stop; it may leave the outcome of a call unknown. */
 export type FaultEvent = {
-	readonly what: string;
+	readonly description: string;
 	/** The only affected daemon, whose streams may fail too; absent for faults of the platform or the network. */
 	readonly daemon?: string;
 	readonly from: number;
@@ -66,15 +66,15 @@
 	readonly notices: NoticeEvent[];
 	readonly versions: VersionEvent[];
 	/** Configurations reported to an operator as accepted. */
-	readonly accepted: Array<{readonly version: number; readonly at: number}>;
+	readonly acceptedVersions: Array<{readonly version: number; readonly at: number}>;
 	readonly stops: StopEvent[];
-	readonly harms: FaultEvent[];
+	readonly faults: FaultEvent[];
 	/** The configuration version of each daemon that is still running at the end. */
 	readonly finalVersions: VersionEvent[];
 	/** Number of backend servers that each crashing request brought down. */
-	readonly crashedBy: Array<{readonly key: string; readonly backends: number}>;
+	readonly crashingRequests: Array<{readonly key: string; readonly backends: number}>;
 };
 
 export const makeHistory = (): History => ({
-	calls: [], arrivals: [], notices: [], versions: [], accepted: [], stops: [], harms: [], finalVersions: [], crashedBy: [],
+	calls: [], arrivals: [], notices: [], versions: [], acceptedVersions: [], stops: [], faults: [], finalVersions: [], crashingRequests: [],
 });
--- a/scripts/measure/src/local-fleet.ts
+++ b/scripts/measure/src/local-fleet.ts
@@ -50,7 +50,7 @@
 	/** IP address of the instance; each zone of a zoned fleet has its own loopback address. */
 	readonly address?: string;
 	/** Address of a relay in front of the peer listener, announced to the other daemons. */
-	readonly announcePeersAs?: string;
+	readonly announcedPeersAddress?: string;
 	readonly tracing?: SettingsInput['tracing'];
 	readonly clock?: Clock;
 };
@@ -75,8 +75,8 @@
 	tracing: options.tracing,
 });
 
-export const startMember = async (options: MemberOptions): Promise<Daemon> =>
-	startDaemon({settings: makeSettings(options), clock: options.clock, announcePeersAs: options.announcePeersAs});
+export const startFleetDaemon = async (options: MemberOptions): Promise<Daemon> =>
+	startDaemon({settings: makeSettings(options), clock: options.clock, announcedPeersAddress: options.announcedPeersAddress});
 
 /** Waits until the condition holds; throws an error after the timeout. */
 export const waitFor = async (description: string, condition: () => boolean | Promise<boolean>, timeoutMs = 15_000): Promise<void> => {
@@ -132,7 +132,7 @@
 export type ApplyOutcome = {readonly status: number; readonly body: {readonly version?: number; readonly id?: string; readonly kind?: string}};
 
 /** Applies a configuration through a daemon's admin API; `base` is the version that it must replace. */
-export const applyThrough = async (daemon: Pick<Daemon, 'admin'>, text: string, base?: number, team = 'default'): Promise<ApplyOutcome> => {
+export const applyConfiguration = async (daemon: Pick<Daemon, 'admin'>, text: string, base?: number, team = 'default'): Promise<ApplyOutcome> => {
 	const response = await fetch(`http://${daemon.admin}/admin/v1/teams/${team}/configuration`, {
 		method: 'PUT',
 		headers: {authorization: `Bearer ${operatorKey}`, ...(base === undefined ? {} : {'if-match': String(base)})},
--- a/scripts/measure/src/membership-experiment.ts
+++ b/scripts/measure/src/membership-experiment.ts
@@ -79,7 +79,7 @@
 const makeMemoryClient = (id: string, network: SimulatedNetwork): MemoryClient => {
 	const bytes = {sent: 0, received: 0};
 	const client = {
-		async ask(address: string, method: string, parameters: unknown, deadline: number) {
+		async call(address: string, method: string, parameters: unknown, deadline: number) {
 			bytes.sent += JSON.stringify(parameters).length + frameOverheadBytes;
 			await delay(network);
 			const target = network.membersByAddress.get(address);
@@ -99,7 +99,7 @@
 			bytes.received += JSON.stringify(result).length + frameOverheadBytes;
 			return result as never;
 		},
-		forget() {/* no connections to close */},
+		disconnect() {/* no connections to close */},
 		bytes,
 	} as unknown as PeerClient;
 	return {client, bytes};
--- a/scripts/measure/src/path-experiment.ts
+++ b/scripts/measure/src/path-experiment.ts
@@ -4,7 +4,7 @@
 import {Agent} from 'undici';
 import {z} from 'zod';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
-import {askStream} from './caller-client.js';
+import {streamChat} from './caller-client.js';
 import {makeConfigurationText, makeSettings} from './local-fleet.js';
 import {
 	getQuantiles,
@@ -66,13 +66,13 @@
 			await sleep(options.random() * options.pauseMs); // eslint-disable-line no-await-in-loop -- staggers the requests
 			const marker = `${options.label}-${stream}-${index}`;
 			// eslint-disable-next-line no-await-in-loop -- the requests of a stream are sequential
-			const result = await askStream({
+			const result = await streamChat({
 				address: options.address, marker, tokens: options.tokens, dispatcher,
 			});
 			totals.chunks += result.chunks;
-			totals.stray += result.strayTokens;
+			totals.stray += result.unexpectedTokens;
 			totals.refused += result.status === 200 ? 0 : 1;
-			totals.lost += result.isWhole ? 0 : 1;
+			totals.lost += result.isComplete ? 0 : 1;
 			totals.firstToken.record(result.firstTokenMs ?? result.endMs);
 			totals.whole.record(result.endMs);
 		}
--- a/scripts/measure/src/policies-experiment.ts
+++ b/scripts/measure/src/policies-experiment.ts
@@ -1,8 +1,8 @@
 /** Simulates sets of policies on the workloads of customers with several seeds, and reports the mean and standard error of each figure. */
 import * as z from 'zod';
 import {customerSchema} from './policies/customer.js';
-import {type PlayReport} from './policies/play-policies.js';
-import {playInThreads, type PlayJob} from './policies/play-in-threads.js';
+import {type SimulationReport} from './policies/simulate-policies.js';
+import {runSimulations, type SimulationJob} from './policies/run-simulations.js';
 import {policySets} from './policies/policies.js';
 import {type Experiment, type Report} from './experiment.js';
 
@@ -32,7 +32,7 @@
 
 const roundFigure = (value: number): number => Number(value.toFixed(value >= 10 ? 1 : 4));
 
-const summarize = (reports: readonly PlayReport[]): Record<Figure, {readonly mean: number; readonly error: number}> => {
+const summarize = (reports: readonly SimulationReport[]): Record<Figure, {readonly mean: number; readonly error: number}> => {
 	const entries = figures.map(figure => {
 		const values = reports.map(report => report[figure]);
 		return [figure, {mean: roundFigure(computeMean(values)), error: roundFigure(computeStandardError(values))}] as const;
@@ -53,8 +53,8 @@
 const run = async (options: Options, printLine: (line: string) => void): Promise<Report> => {
 	const names = listPolicies(options);
 	const jobs = options.customers.flatMap(customer => names.flatMap(policy =>
-		Array.from({length: options.seeds}, (_seed, index): PlayJob => ({customer, policy, seed: options.seed + index}))));
-	const reports = await playInThreads(jobs);
+		Array.from({length: options.seeds}, (_seed, index): SimulationJob => ({customer, policy, seed: options.seed + index}))));
+	const reports = await runSimulations(jobs);
 	const rows = options.customers.flatMap(customer => names.map(policy => {
 		const rowReports = reports.filter((_report, index) => jobs[index]!.customer === customer && jobs[index]!.policy === policy);
 		const row = {customer: customer.name, policy, ...summarize(rowReports)};
--- a/scripts/measure/src/policies/policies.ts
+++ b/scripts/measure/src/policies/policies.ts
@@ -23,7 +23,7 @@
 };
 
 /** The decisions as the daemon makes them. */
-export const ours: Policies = {
+export const defaultPolicies: Policies = {
 	choose: chooseBackend,
 	isInOtherZone: (ownZone, zone) => ownZone !== zone,
 	computeUnreportedWorkMs: computeUnreportedMs,
@@ -49,25 +49,25 @@
 
 /** Policy sets by their names in experiment files. */
 export const policySets: Readonly<Record<string, Policies>> = {
-	ours,
+	ours: defaultPolicies,
 	// Treats all availability zones as the daemon's own.
-	'any-zone': {...ours, isInOtherZone: () => false},
+	'any-zone': {...defaultPolicies, isInOtherZone: () => false},
 	// Ignores work that other daemons have not reported yet.
-	'no-spread': {...ours, computeUnreportedWorkMs: () => 0},
+	'no-spread': {...defaultPolicies, computeUnreportedWorkMs: () => 0},
 	// Estimates an engine's speed from the daemon's own samples only.
-	'own-speeds': {...ours, computeSpeed: (own, _others, latencyModel) => computeEngineSpeed([own], latencyModel)},
+	'own-speeds': {...defaultPolicies, computeSpeed: (own, _others, latencyModel) => computeEngineSpeed([own], latencyModel)},
 	// Assumes the mean speed of the service for every engine.
-	'one-speed': {...ours, computeSpeed: (_own, _others, latencyModel) => latencyModel.tokensPerMs},
+	'one-speed': {...defaultPolicies, computeSpeed: (_own, _others, latencyModel) => latencyModel.tokensPerMs},
 	// Assumes the default speed, without measurements.
-	'first-guess': {...ours, computeSpeed: () => defaultLatencyModel.tokensPerMs},
+	'first-guess': {...defaultPolicies, computeSpeed: () => defaultLatencyModel.tokensPerMs},
 	// Has no preferred backend servers for prompt prefixes.
-	'no-homes': {...ours, hasPreferredBackends: false},
+	'no-homes': {...defaultPolicies, hasPreferredBackends: false},
 	// Sends each call to a random backend server.
-	'any-engine': {...ours, choose: chooseAtRandom},
+	'any-engine': {...defaultPolicies, choose: chooseAtRandom},
 	// Starts on-demand backend servers for every reclaim wave that the plan covers.
-	'two-waves': {...ours, plan: input => planBackends(input, waves => waves)},
+	'two-waves': {...defaultPolicies, plan: input => planBackends(input, waves => waves)},
 	// Orders only on-demand backend servers.
-	'full-price': {...ours, plan: planOnDemandOnly},
+	'full-price': {...defaultPolicies, plan: planOnDemandOnly},
 	// Keeps the initial number of backend servers, all of them on-demand.
-	'fixed-fleet': {...ours, updateEstimate: keepInitialCount, plan: planOnDemandOnly},
+	'fixed-fleet': {...defaultPolicies, updateEstimate: keepInitialCount, plan: planOnDemandOnly},
 };
--- a/scripts/measure/src/policies/play-in-threads.ts
+++ b/scripts/measure/src/policies/run-simulations.ts
@@ -3,10 +3,10 @@
 import {parentPort, workerData} from 'node:worker_threads';
 import {runInWorkers} from '../run-in-workers.js';
 import {type Customer} from './customer.js';
-import {playPolicies, type PlayReport} from './play-policies.js';
+import {simulatePolicies, type SimulationReport} from './simulate-policies.js';
 import {policySets} from './policies.js';
 
-export type PlayJob = {
+export type SimulationJob = {
 	readonly customer: Customer;
 	/** Name of a policy set. */
 	readonly policy: string;
@@ -16,10 +16,10 @@
 const jobKind = 'policies_play';
 
 /** Runs all jobs and returns their reports in the order of the jobs. */
-export const playInThreads = async (jobs: readonly PlayJob[]): Promise<PlayReport[]> => runInWorkers({file: fileURLToPath(import.meta.url), kind: jobKind, jobs});
+export const runSimulations = async (jobs: readonly SimulationJob[]): Promise<SimulationReport[]> => runInWorkers({file: fileURLToPath(import.meta.url), kind: jobKind, jobs});
 
-const data = workerData as {readonly kind: string; readonly job: PlayJob} | undefined;
+const data = workerData as {readonly kind: string; readonly job: SimulationJob} | undefined;
 if (parentPort !== null && data?.kind === jobKind) {
 	const {customer, policy, seed} = data.job;
-	parentPort.postMessage(playPolicies(customer, policySets[policy]!, seed));
+	parentPort.postMessage(simulatePolicies(customer, policySets[policy]!, seed));
 }
--- a/scripts/measure/src/policies/play-policies.ts
+++ b/scripts/measure/src/policies/simulate-policies.ts
@@ -4,7 +4,7 @@
 import {makeManualClock, type ManualClock} from '../routing/manual-clock.js';
 import {type Customer} from './customer.js';
 import {makeCalls, type SimulatedCall} from './make-calls.js';
-import {makeReportTotals} from './report-board.js';
+import {makeReportTotals} from './report-totals.js';
 import {type Policies} from './policies.js';
 import {startVirtualDaemon, type VirtualDaemon} from './virtual-daemon.js';
 import {type RunResult} from './virtual-engine.js';
@@ -35,7 +35,7 @@
 	readonly outcome: CallOutcome;
 };
 
-export type PlayReport = {
+export type SimulationReport = {
 	readonly calls: number;
 	/** Shares of the calls by their outcome. */
 	readonly onTime: number;
@@ -161,7 +161,7 @@
 	return worst.reduce((sum, share) => sum + share, 0) / Math.max(1, worst.length);
 };
 
-const summarize = ({results, fleet}: Simulation): PlayReport => {
+const summarize = ({results, fleet}: Simulation): SimulationReport => {
 	const count = (outcome: CallOutcome): number => results.filter(result => result.outcome === outcome).length;
 	const {computed, sent} = fleet.sumTokens();
 	return {
@@ -176,7 +176,7 @@
 	};
 };
 
-export const playPolicies = (customer: Customer, policies: Policies, seed: number): PlayReport => {
+export const simulatePolicies = (customer: Customer, policies: Policies, seed: number): SimulationReport => {
 	const clock = makeManualClock();
 	const fleet = startVirtualFleet({...customer, waves: {...customer.waves, at: customer.waves.at.map(at => at + warmUpMs)}}, clock);
 	const random = makeRandom(seed + 1_000_000);
--- a/scripts/measure/src/policies/virtual-daemon.ts
+++ b/scripts/measure/src/policies/virtual-daemon.ts
@@ -11,7 +11,7 @@
 import {type SimulatedCall} from './make-calls.js';
 import {
 	rankCount, type ReportTotals, emptyReport, type ReportedLoad,
-} from './report-board.js';
+} from './report-totals.js';
 import {type Policies} from './policies.js';
 import {type VirtualEngine} from './virtual-engine.js';
 
--- a/scripts/measure/src/policies/virtual-fleet.ts
+++ b/scripts/measure/src/policies/virtual-fleet.ts
@@ -1,5 +1,5 @@
 /** Simulated engines of a customer: starts and ends them as ordered, reclaims those of a zone in each wave, and sums up their price. */
-import {type BackendOrder} from '@shallotpass/core/duties/lease.js';
+import {type BackendOrder} from '@shallotpass/core/lease/lease.js';
 import {type ZoneFleet} from '@shallotpass/core/engines/plan-backends.js';
 import {type ManualClock} from '../routing/manual-clock.js';
 import {type Customer} from './customer.js';
--- a/scripts/measure/src/reclaim-experiment.ts
+++ b/scripts/measure/src/reclaim-experiment.ts
@@ -5,9 +5,9 @@
 import {type Daemon} from '@shallotpass/daemon/start-daemon.js';
 import {startEngineStandIn, type EngineStandIn} from '@shallotpass/stand-ins/engine-stand-in.js';
 import {startPlainServiceStandIn, type PlainServiceStandIn} from '@shallotpass/stand-ins/plain-service-stand-in.js';
-import {askStream, reserve} from './caller-client.js';
+import {streamChat, sendReservation} from './caller-client.js';
 import {
-	applyThrough, makeConfigurationText, startMember, startPlatform, waitFor, type FleetPlatform,
+	applyConfiguration, makeConfigurationText, startFleetDaemon, startPlatform, waitFor, type FleetPlatform,
 } from './local-fleet.js';
 import {getQuantiles, makeLatencies} from './latencies.js';
 import {type Experiment, type Report} from './experiment.js';
@@ -73,9 +73,9 @@
 		const marker = `s${stream}-${index}`;
 		tally.accepted++;
 		try {
-			const answer = await askStream({address: pickDaemon(cluster).callers, marker, tokens: options.tokens}); // eslint-disable-line no-await-in-loop -- the requests of a caller are sequential
-			tally.stray += answer.strayTokens;
-			if (answer.isWhole) {
+			const answer = await streamChat({address: pickDaemon(cluster).callers, marker, tokens: options.tokens}); // eslint-disable-line no-await-in-loop -- the requests of a caller are sequential
+			tally.stray += answer.unexpectedTokens;
+			if (answer.isComplete) {
 				tally.answered++;
 			} else if (answer.problem === undefined) {
 				tally.lost++;
@@ -96,7 +96,7 @@
 		const key = `r${worker}-${index}`;
 		tally.accepted++;
 		try {
-			const answer = await reserve({address: pickDaemon(cluster).callers, key, body: JSON.stringify({key})}); // eslint-disable-line no-await-in-loop -- reservations are sequential
+			const answer = await sendReservation({address: pickDaemon(cluster).callers, key, body: JSON.stringify({key})}); // eslint-disable-line no-await-in-loop -- reservations are sequential
 			if (answer.status === 200) {
 				tally.answered++;
 			} else if (answer.body.executed === 'no') {
@@ -134,7 +134,7 @@
 const reclaimWithNotice = async (cluster: TestCluster, engines: readonly Engine[]): Promise<void> => {
 	const leavesAt = Date.now() + cluster.options.noticeMs;
 	for (const engine of engines) {
-		cluster.platform.cloud.giveNotice(engine.id, leavesAt);
+		cluster.platform.cloud.announceReclaim(engine.id, leavesAt);
 	}
 
 	await countLateArrivals(cluster, engines);
@@ -148,13 +148,13 @@
 	await replaceEngines(cluster, engines);
 };
 
-const startDaemon = async (cluster: Pick<TestCluster, 'platform' | 'daemons'>, index: number): Promise<Daemon> => startMember({
+const startDaemon = async (cluster: Pick<TestCluster, 'platform' | 'daemons'>, index: number): Promise<Daemon> => startFleetDaemon({
 	id: `entry-${index}`, availabilityZone: `zone-${(index % 3) + 1}`, platform: cluster.platform, seeds: cluster.daemons.slice(0, 2).map(daemon => daemon.peers),
 });
 
 const reclaimDaemon = async (cluster: TestCluster, round: number): Promise<void> => {
 	const leaving = cluster.daemons[0]!;
-	cluster.platform.cloud.giveNotice(leaving.environment.settings.instance.id, Date.now() + 10_000);
+	cluster.platform.cloud.announceReclaim(leaving.environment.settings.instance.id, Date.now() + 10_000);
 	// The load balancer removes a daemon when its readiness check fails.
 	await waitFor('the daemon is not ready', () => !leaving.isReady());
 	cluster.daemons = cluster.daemons.slice(1);
@@ -188,7 +188,7 @@
 	}
 
 	await waitFor('all daemons know each other', () => cluster.daemons.every(daemon => daemon.listMembers().length === 3));
-	await applyThrough(cluster.daemons[0]!, makeConfigurationText());
+	await applyConfiguration(cluster.daemons[0]!, makeConfigurationText());
 	await sleep(1500);
 	return cluster;
 };
--- a/scripts/measure/src/reference-pages.ts
+++ b/scripts/measure/src/reference-pages.ts
@@ -1,7 +1,7 @@
 /** Generates the reference pages from the schemas and tables that the code itself uses. */
 import {adminRoutes} from '@shallotpass/admin/routes.js';
 import {configurationTables} from '@shallotpass/common/configuration-schema.js';
-import {errorAnswers} from '@shallotpass/common/error-kinds.js';
+import {errorResponses} from '@shallotpass/common/error-kinds.js';
 import {settingsSchema} from '@shallotpass/common/settings-schema.js';
 import {toFileKey} from '@shallotpass/common/toml-file.js';
 import {logEvents} from '@shallotpass/gateway/telemetry/log-events.js';
@@ -63,21 +63,21 @@
 	...listRows(toJsonSchema(schema), '').map(row => `| \`${row.key}\` | ${row.kind} | ${row.defaultText} | ${row.meaning} |`),
 ].join('\n');
 
-const generatedNote = 'This page is written from the code by `npm run docs`.';
+const generatedNote = 'This page is generated from the code by `npm run docs`.';
 
 const makeSettingsPage = (): string => `# Settings of the daemon
 
-${generatedNote} \`[]\` marks a table that may stand several times, as \`[[admin_key]]\`.
-A mistake is told with file, key, expectation and finding, and the daemon does not start.
+${generatedNote} \`[]\` marks a table that may occur several times, such as \`[[admin_key]]\`.
+If a value is invalid, the daemon reports the file, the key, the expected and the actual value, and does not start.
 
 ${formatKeys(settingsSchema)}
 `;
 
 const makeConfigurationPage = (): string => `# Configuration file
 
-${generatedNote} \`[]\` marks a table that may stand several times, as \`[[service]]\`.
-The file is applied as a whole with \`shallotpass apply FILE\`; \`shallotpass check FILE\` looks
-for mistakes without a daemon.
+${generatedNote} \`[]\` marks a table that may occur several times, such as \`[[service]]\`.
+\`shallotpass apply FILE\` applies the file as a whole; \`shallotpass check FILE\` validates it
+without a daemon.
 
 ${formatKeys(configurationTables)}
 `;
@@ -85,18 +85,18 @@
 const makeErrorsPage = (): string => `# Error kinds
 
 ${generatedNote} Every refusal is \`application/problem+json\` (RFC 9457) with \`kind\` and
-\`executed\`. \`no\`: no backend server has seen the request. \`unknown\`: it may have run.
-\`yes\`: it ran. A kind may be told with more certainty than here, never with less.
+\`executed\`. \`no\`: no backend server has received the request. \`unknown\`: it may have been executed.
+\`yes\`: it was executed. A response may state \`no\` or \`yes\` where this table says \`unknown\`, never the reverse.
 
 | kind | status | executed | meaning | what a caller may do |
 | --- | --- | --- | --- | --- |
-${Object.entries(errorAnswers).map(([kind, answer]) => `| \`${kind}\` | ${answer.status} | ${answer.executed} | ${answer.title} | ${answer.advice} |`).join('\n')}
+${Object.entries(errorResponses).map(([kind, answer]) => `| \`${kind}\` | ${answer.status} | ${answer.executed} | ${answer.title} | ${answer.advice} |`).join('\n')}
 `;
 
 const makeMetricsPage = (): string => `# Metrics
 
-${generatedNote} They are served at \`/metrics\` of the operators' listener, beside those of the
-process itself. Names end in their unit.
+${generatedNote} They are served at \`/metrics\` of the admin listener, together with the standard process
+metrics. Names end in their unit.
 
 | metric | kind | labels | meaning |
 | --- | --- | --- | --- |
@@ -105,19 +105,19 @@
 
 const makeLogEventsPage = (): string => `# Log events of the gateway
 
-${generatedNote} A line is one JSON object with \`level\`, \`time\` (milliseconds
-since 1970), \`instance\`, \`event\` and the fields below; a field that does not apply is left out.
-The way from a failed request to its cause is in [OPERATIONS](../OPERATIONS.md).
+${generatedNote} Each line is a JSON object with \`level\`, \`time\` (milliseconds
+since 1970), \`instance\`, \`event\` and the fields below; fields that do not apply are omitted.
+[OPERATIONS](../OPERATIONS.md) describes how to find the cause of a failed request.
 
 | event | meaning | fields |
 | --- | --- | --- |
 ${Object.entries(logEvents).map(([event, {meaning, fields}]) => `| \`${event}\` | ${meaning} | ${fields.map(field => `\`${field}\``).join(', ')} |`).join('\n')}
 `;
 
-const makeRoutesPage = (): string => `# Operators' interface
+const makeRoutesPage = (): string => `# Admin API
 
-${generatedNote} A key is sent as \`Authorization: Bearer KEY\`. \`/healthz\`, \`/readyz\` and
-\`/metrics\` need none.
+${generatedNote} Send the key as \`Authorization: Bearer KEY\`. \`/healthz\`, \`/readyz\` and
+\`/metrics\` need no key.
 
 | method | path | least role |
 | --- | --- | --- |
--- a/scripts/measure/src/routing/deployment.ts
+++ b/scripts/measure/src/routing/deployment.ts
@@ -117,7 +117,7 @@
 	Math.min(...deployment.class.map(item => item.betweenTokensMs ?? Number.POSITIVE_INFINITY));
 
 /** Returns the number of concurrent answers at which a machine serves most requests within the strictest token interval, as operators would configure it. */
-export const computePlaces = (deployment: Deployment, machine: Machine): number =>
+export const computeSlots = (deployment: Deployment, machine: Machine): number =>
 	findBestBatch(machine, computeMeanRequest(deployment), getStrictestIntervalMs(deployment)).running;
 
 /** Returns the chat requests per second that all engines together serve within the strictest token interval. This is a load of 1. */
--- a/scripts/measure/src/routing/run-deployment.ts
+++ b/scripts/measure/src/routing/run-deployment.ts
@@ -6,9 +6,9 @@
 import {type RoutingPolicy} from '@shallotpass/core/routing/types.js';
 import {listEngines, type Deployment, type PlacedEngine} from './deployment.js';
 import {
-	chatService, makeEntryDaemon, type ChatResult, type EntryDaemon,
-} from './entry-daemon.js';
-import {makeHostedEngine, type HostedEngine} from './hosted-engine.js';
+	chatService, makeSimulatedDaemon, type ChatResult, type SimulatedDaemon,
+} from './simulated-daemon.js';
+import {makeSimulatedEngine, type SimulatedEngine} from './simulated-engine.js';
 import {makeManualClock, type ManualClock} from './manual-clock.js';
 import {makeRequests, type Arrival} from './make-requests.js';
 import {summarizeRun, type RunSummary} from './summarize-run.js';
@@ -43,11 +43,11 @@
 type Simulation = {
 	readonly plan: RunPlan;
 	readonly clock: ManualClock;
-	readonly engines: Map<string, HostedEngine>;
-	readonly daemons: readonly EntryDaemon[];
+	readonly engines: Map<string, SimulatedEngine>;
+	readonly daemons: readonly SimulatedDaemon[];
 	readonly instances: Map<string, ListedInstance>;
 	/** All engines ever started, including terminated ones. */
-	readonly allEngines: HostedEngine[];
+	readonly allEngines: SimulatedEngine[];
 	/** The time at which each plain server is free again. */
 	readonly plainFreeAt: Map<string, number>;
 	listVersion: number;
@@ -62,7 +62,7 @@
 };
 
 const addEngine = (simulation: Simulation, placed: PlacedEngine): void => {
-	const engine = makeHostedEngine(placed, simulation.clock);
+	const engine = makeSimulatedEngine(placed, simulation.clock);
 	simulation.engines.set(placed.id, engine);
 	simulation.allEngines.push(engine);
 	simulation.instances.set(placed.id, {
@@ -101,7 +101,7 @@
 
 	clock.schedule(leavesAt - streamMoveMarginMs, () => {
 		for (const engine of leaving) {
-			engine.takeAway();
+			engine.terminate();
 			simulation.instances.delete(engine.id);
 		}
 
@@ -132,7 +132,7 @@
 };
 
 const reportLoads = (simulation: Simulation): void => {
-	for (const {id, getReport, takeEvents} of simulation.engines.values()) {
+	for (const {id, getLoadReport: getReport, takeEvents} of simulation.engines.values()) {
 		if (!simulation.instances.has(id)) {
 			continue;
 		}
@@ -154,13 +154,13 @@
 const makeSimulation = (plan: RunPlan, makePolicy: () => RoutingPolicy): Simulation => {
 	const clock = makeManualClock();
 	const random = makeRandom(plan.seed + 1);
-	const engines = new Map<string, HostedEngine>();
-	const daemons: EntryDaemon[] = [];
+	const engines = new Map<string, SimulatedEngine>();
+	const daemons: SimulatedDaemon[] = [];
 	const simulation: Simulation = {
 		plan, clock, engines, daemons, instances: new Map(), allEngines: [], plainFreeAt: new Map(), listVersion: 0, random: makeRandom(plan.seed + 2),
 	};
 	for (let index = 0; index < plan.deployment.daemons; index++) {
-		daemons.push(makeEntryDaemon({
+		daemons.push(makeSimulatedDaemon({
 			index, deployment: plan.deployment, clock, random, policy: makePolicy(), findEngine: id => engines.get(id)!, runPlain: async id => runPlain(simulation, id),
 		}));
 	}
@@ -182,7 +182,7 @@
 	const plainMs: number[] = [];
 	const pendingIds = new Set<string>();
 	let plainRefused = 0;
-	const serve = async (arrival: Arrival, daemon: EntryDaemon): Promise<void> => {
+	const serve = async (arrival: Arrival, daemon: SimulatedDaemon): Promise<void> => {
 		pendingIds.add(arrival.id);
 		if (arrival.kind === 'chat') {
 			results.push(await daemon.serve(arrival));
--- a/scripts/measure/src/routing/entry-daemon.ts
+++ b/scripts/measure/src/routing/simulated-daemon.ts
@@ -15,7 +15,7 @@
 import {makeMetrics} from '@shallotpass/telemetry/metrics.js';
 import {makeSettings} from '../local-fleet.js';
 import {type LatencyClass, type Deployment} from './deployment.js';
-import {type HostedEngine, type RunOutcome} from './hosted-engine.js';
+import {type SimulatedEngine, type RunOutcome} from './simulated-engine.js';
 import {type ChatArrival, type PlainArrival} from './make-requests.js';
 import {type ManualClock} from './manual-clock.js';
 
@@ -28,23 +28,23 @@
 	readonly tokens: number;
 	readonly attempts: number;
 	/** Error kind if the request failed; undefined if the answer is complete. */
-	readonly refusedAs: ErrorKind | undefined;
+	readonly errorKind: ErrorKind | undefined;
 };
 
-export type EntryDaemon = {
+export type SimulatedDaemon = {
 	readonly registry: BackendRegistry;
 	readonly serve: (arrival: ChatArrival) => Promise<ChatResult>;
 	/** Resolves to the time from arrival to answer in milliseconds; undefined if there was no server. */
 	readonly servePlain: (arrival: PlainArrival) => Promise<number | undefined>;
 };
 
-type EntryDaemonOptions = {
+type SimulatedDaemonOptions = {
 	readonly index: number;
 	readonly deployment: Deployment;
 	readonly clock: ManualClock;
 	readonly random: () => number;
 	readonly policy: RoutingPolicy;
-	readonly findEngine: (id: string) => HostedEngine;
+	readonly findEngine: (id: string) => SimulatedEngine;
 	readonly runPlain: (serverId: string) => Promise<void>;
 };
 
@@ -85,7 +85,7 @@
 	}),
 ].join('\n');
 
-export const makeEntryDaemon = (options: EntryDaemonOptions): EntryDaemon => {
+export const makeSimulatedDaemon = (options: SimulatedDaemonOptions): SimulatedDaemon => {
 	const {
 		index, deployment, clock, random, policy, findEngine, runPlain,
 	} = options;
@@ -119,7 +119,7 @@
 			account: makeAccount(account),
 			serviceId: chatService,
 			rank: latencyClass.rank,
-			isPatient: latencyClass.firstTokenMs === undefined,
+			isBackground: latencyClass.firstTokenMs === undefined,
 			firstTokenMs: latencyClass.firstTokenMs,
 			work: arrival.promptTokens + arrival.answerTokens,
 			deadline: addMilliseconds(arrival.at, latencyClass.wholeWithinMs),
@@ -146,10 +146,10 @@
 		const outcome = await findEngine(backend.id).run({
 			id: `${arrival.id}-${tokens}`, prompt: '', promptTokens: arrival.promptTokens, chain: arrival.chain, priority: latencyClass.rank, maxTokens: arrival.answerTokens, resumeAfter: tokens - 1,
 		}, () => {
-			registry.recordPromptProcessed(backend.id, uncachedTokens);
+			registry.recordPromptPrefilled(backend.id, uncachedTokens);
 		});
 		if (outcome.firstTokenAt === undefined) {
-			registry.recordPromptProcessed(backend.id, uncachedTokens);
+			registry.recordPromptPrefilled(backend.id, uncachedTokens);
 		}
 
 		registry.end(backend.id, isUrgent);
@@ -184,7 +184,7 @@
 			tokens += outcome.tokens;
 			if (outcome.isComplete) {
 				return {
-					firstTokenAt, tokens, attempts, refusedAs: undefined,
+					firstTokenAt, tokens, attempts, errorKind: undefined,
 				};
 			}
 
@@ -192,7 +192,7 @@
 		}
 
 		return {
-			firstTokenAt, tokens, attempts, refusedAs: attempts === 0 ? 'no_backend' : 'backend_failed',
+			firstTokenAt, tokens, attempts, errorKind: attempts === 0 ? 'no_backend' : 'backend_failed',
 		};
 	};
 
@@ -228,7 +228,7 @@
 				}
 
 				return {
-					arrival, endedAt: clock.now(), firstTokenAt: undefined, tokens: 0, attempts: 0, refusedAs: error.kind,
+					arrival, endedAt: clock.now(), firstTokenAt: undefined, tokens: 0, attempts: 0, errorKind: error.kind,
 				};
 			}
 		},
--- a/scripts/measure/src/routing/hosted-engine.ts
+++ b/scripts/measure/src/routing/simulated-engine.ts
@@ -12,13 +12,13 @@
 	readonly isComplete: boolean;
 };
 
-export type HostedEngine = PlacedEngine & {
+export type SimulatedEngine = PlacedEngine & {
 	/** Resolves when the answer is complete or the engine is terminated. */
 	readonly run: (job: EngineJob, onFirstToken: () => void) => Promise<RunOutcome>;
 	/** Terminates the engine and its running jobs. */
-	readonly takeAway: () => void;
+	readonly terminate: () => void;
 	/** Returns the last load report, which is up to `loadLagMs` old. */
-	readonly getReport: () => LoadReport;
+	readonly getLoadReport: () => LoadReport;
 	/** Returns the cache events since the last call. */
 	readonly takeEvents: () => CacheEvent[];
 	readonly counts: Readonly<EngineCounts>;
@@ -33,7 +33,7 @@
 	readonly resolve: (outcome: RunOutcome) => void;
 };
 
-export const makeHostedEngine = (placed: PlacedEngine, clock: ManualClock): HostedEngine => {
+export const makeSimulatedEngine = (placed: PlacedEngine, clock: ManualClock): SimulatedEngine => {
 	const {name: _name, price: _price, ...parameters} = placed.machine;
 	const {loadLagMs} = parameters;
 	const core = makeEngineCore({...parameters, paceMs: 0});
@@ -101,14 +101,14 @@
 				}
 			});
 		},
-		takeAway() {
+		terminate() {
 			isTerminated = true;
 			for (const id of jobs.keys()) {
 				core.cancel(id);
 				finish(id, false);
 			}
 		},
-		getReport() {
+		getLoadReport() {
 			if (clock.now() - report.at >= loadLagMs) {
 				report = {...core.getLoad(), at: clock.now()};
 			}
--- a/scripts/measure/src/routing/summarize-run.ts
+++ b/scripts/measure/src/routing/summarize-run.ts
@@ -1,8 +1,8 @@
 /** Summarizes a run: cost, latency targets, refusals and fairness. */
-import {errorAnswers} from '@shallotpass/common/error-kinds.js';
+import {errorResponses} from '@shallotpass/common/error-kinds.js';
 import {round} from '../latencies.js';
 import {listEngines, type Deployment, type LatencyClass} from './deployment.js';
-import {type ChatResult} from './entry-daemon.js';
+import {type ChatResult} from './simulated-daemon.js';
 import {type RunPlan} from './run-deployment.js';
 
 export type ClassSummary = {
@@ -42,8 +42,8 @@
 
 const millisecondsPerHour = 3_600_000;
 
-export const isWithin = ({arrival, firstTokenAt, endedAt, tokens, refusedAs}: ChatResult, target: LatencyClass): boolean => {
-	if (refusedAs !== undefined || firstTokenAt === undefined) {
+export const isWithinTarget = ({arrival, firstTokenAt, endedAt, tokens, errorKind}: ChatResult, target: LatencyClass): boolean => {
+	if (errorKind !== undefined || firstTokenAt === undefined) {
 		return false;
 	}
 
@@ -56,7 +56,7 @@
 type Demand = {readonly account: string; readonly share: number; readonly asked: number; readonly served: number};
 
 /** Divides the total by weighted max-min fairness: no account gets more than it asked for, and the rest goes to the others by their shares. */
-export const divideFairly = (demands: ReadonlyArray<Pick<Demand, 'account' | 'share' | 'asked'>>, total: number): ReadonlyMap<string, number> => {
+export const allocateMaxMinFair = (demands: ReadonlyArray<Pick<Demand, 'account' | 'share' | 'asked'>>, total: number): ReadonlyMap<string, number> => {
 	const allocations = new Map<string, number>();
 	let unsatisfied = [...demands];
 	let remaining = total;
@@ -84,7 +84,7 @@
 };
 
 /** Computes Jain's fairness index (Jain, Chiu, Hawe 1984): 1 if all values are equal, 1/n if one account gets everything. */
-export const computeJain = (values: readonly number[]): number => {
+export const computeJainIndex = (values: readonly number[]): number => {
 	const sum = values.reduce((total, value) => total + value, 0);
 	const squares = values.reduce((total, value) => total + (value ** 2), 0);
 	return squares === 0 ? 1 : (sum ** 2) / (values.length * squares);
@@ -99,14 +99,14 @@
 			account: name,
 			share,
 			asked: accountResults.reduce((sum, result) => sum + getWork(result), 0),
-			served: accountResults.filter(result => result.refusedAs === undefined).reduce((sum, result) => sum + getWork(result), 0),
+			served: accountResults.filter(result => result.errorKind === undefined).reduce((sum, result) => sum + getWork(result), 0),
 		};
 	});
-	const fair = divideFairly(demands, demands.reduce((sum, demand) => sum + demand.served, 0));
-	return computeJain(demands.map(({account, served}) => served / Math.max(1, fair.get(account)!)));
+	const fair = allocateMaxMinFair(demands, demands.reduce((sum, demand) => sum + demand.served, 0));
+	return computeJainIndex(demands.map(({account, served}) => served / Math.max(1, fair.get(account)!)));
 };
 
-const isReportedNotExecuted = ({refusedAs}: ChatResult): boolean => refusedAs !== undefined && errorAnswers[refusedAs].executed === 'no';
+const isReportedNotExecuted = ({errorKind}: ChatResult): boolean => errorKind !== undefined && errorResponses[errorKind].executed === 'no';
 
 const getP95 = (values: readonly number[]): number => values.toSorted((left, right) => left - right)[Math.floor(values.length * 0.95)] ?? 0;
 
@@ -134,12 +134,12 @@
 		return {
 			class: target.name,
 			asked: classResults.length,
-			withinTarget: round(classResults.filter(result => isWithin(result, target)).length / Math.max(1, classResults.length), 4),
-			refused: classResults.filter(result => result.refusedAs !== undefined).length,
+			withinTarget: round(classResults.filter(result => isWithinTarget(result, target)).length / Math.max(1, classResults.length), 4),
+			refused: classResults.filter(result => result.errorKind !== undefined).length,
 		};
 	});
-	const withinTargetCount = measured.filter(result => isWithin(result, deployment.class.find(item => item.name === result.arrival.class)!)).length;
-	const refused = measured.filter(result => result.refusedAs !== undefined);
+	const withinTargetCount = measured.filter(result => isWithinTarget(result, deployment.class.find(item => item.name === result.arrival.class)!)).length;
+	const refused = measured.filter(result => result.errorKind !== undefined);
 	return {
 		creditsPerThousand: round(countCredits(plan, replacementGapMs) / Math.max(1, withinTargetCount) * 1000, 4),
 		withinTarget: round(withinTargetCount / Math.max(1, measured.length), 4),
--- a/scripts/measure/src/slopes/socket-slopes.ts
+++ b/scripts/measure/src/slopes/socket-slopes.ts
@@ -9,9 +9,9 @@
 import {startRelay} from '@shallotpass/stand-ins/relay.js';
 import {makeHttpLog} from '@shallotpass/provider/http-log.js';
 import {type Deadline, type LogOffset} from '@shallotpass/common/types.js';
-import {askStream, reserve} from '../caller-client.js';
+import {streamChat, sendReservation} from '../caller-client.js';
 import {
-	makeConfigurationText, makeSettings, startMember, startPlatform, waitFor,
+	makeConfigurationText, makeSettings, startFleetDaemon, startPlatform, waitFor,
 } from '../local-fleet.js';
 import {startWorker, type HostedWorker} from '../worker-host.js';
 import {measureSlope, type Slope} from './slope.js';
@@ -42,7 +42,7 @@
 	await Promise.all(Array.from({length: streams}, async (_value, stream) => {
 		for (let index = 0; index < requests; index++) {
 			// eslint-disable-next-line no-await-in-loop -- a stream sends one request at a time
-			await askStream({
+			await streamChat({
 				address, marker: `m${stream}-${index}`, tokens, dispatcher,
 			});
 		}
@@ -66,7 +66,7 @@
 	setMaxListeners(0, abortController.signal);
 	const openRequests = Array.from({length: streams}, async (_value, stream) => {
 		try {
-			await askStream({
+			await streamChat({
 				address: daemon.address, marker: `o${stream}`, tokens: 100_000, signal: abortController.signal,
 			});
 		} catch {
@@ -146,7 +146,7 @@
 	const daemons: Daemon[] = [];
 	for (let index = 0; index < members; index++) {
 		// eslint-disable-next-line no-await-in-loop -- later members use earlier ones as seeds
-		const daemon = await startMember({
+		const daemon = await startFleetDaemon({
 			id: `entry-${index}`, availabilityZone: 'zone-1', platform, logUrl: relay.url, seeds: daemons.slice(0, 2).map(other => other.peers), peers: {probeEveryMs: 1000, suspectForMs: 4000},
 		});
 		daemons.push(daemon);
@@ -173,7 +173,7 @@
 	});
 	const daemon = await startWorker({kind: 'daemon', settings, configurationText: makeConfigurationText()});
 	await waitFor('the daemon serves requests', async () => {
-		const response = await reserve({address: daemon.address, key: `ready-${Math.random()}`, body: '{}'});
+		const response = await sendReservation({address: daemon.address, key: `ready-${Math.random()}`, body: '{}'});
 		return response.status === 200;
 	});
 	const before = await platform.control({kind: 'count_appends'}) as number;
@@ -182,7 +182,7 @@
 	await Promise.all(Array.from({length: callers}, async () => {
 		while (next < calls) {
 			next++;
-			await reserve({address: daemon.address, key: `k${next}`, body: '{}'}); // eslint-disable-line no-await-in-loop -- a caller waits for each response
+			await sendReservation({address: daemon.address, key: `k${next}`, body: '{}'}); // eslint-disable-line no-await-in-loop -- a caller waits for each response
 		}
 	}));
 	const appends = await platform.control({kind: 'count_appends'}) as number - before;
--- a/scripts/measure/src/zoned-fleet.ts
+++ b/scripts/measure/src/zoned-fleet.ts
@@ -3,7 +3,7 @@
 import {type Daemon} from '@shallotpass/daemon/start-daemon.js';
 import {startRelay, type Relay, type RelayMode} from '@shallotpass/stand-ins/relay.js';
 import {
-	startMember, startPlatform, waitFor, type FleetPlatform,
+	startFleetDaemon, startPlatform, waitFor, type FleetPlatform,
 } from './local-fleet.js';
 
 export type Zone = {
@@ -14,9 +14,9 @@
 	/** Relay between the zone and the platform's instance list. */
 	readonly listRelay: Relay;
 	/** Relays in front of the peer listeners of this zone's daemons. */
-	readonly fromPeers: Relay[];
+	readonly peerRelays: Relay[];
 	/** Sets the mode of the relays to the platform's log and instance list. */
-	readonly setPlatform: (mode: RelayMode) => void;
+	readonly setPlatformRelayMode: (mode: RelayMode) => void;
 	/** Loopback IP address of the zone's daemons, by which relays recognize their connections. */
 	readonly address: string;
 };
@@ -26,14 +26,14 @@
 	readonly zones: readonly Zone[];
 	readonly daemons: readonly Daemon[];
 	/** Isolates the given zones from each other and from all other zones; an empty list reconnects all zones. */
-	readonly separate: (zones: readonly Zone[]) => void;
+	readonly isolateZones: (zones: readonly Zone[]) => void;
 	readonly close: () => Promise<void>;
 };
 
 type ZonedOptions = {
 	readonly zones: number;
 	readonly daemonsPerZone: number;
-	readonly limits?: Parameters<typeof startMember>[0]['limits'];
+	readonly limits?: Parameters<typeof startFleetDaemon>[0]['limits'];
 	/** Makes the clock of a daemon; defaults to the system clock. */
 	readonly makeClock?: (daemonId: string) => Clock;
 };
@@ -51,23 +51,23 @@
 	const logRelay = await startRelay(platform.log.address);
 	const listRelay = await startRelay(platform.list.address);
 	const daemons: Daemon[] = [];
-	const fromPeers: Relay[] = [];
+	const peerRelays: Relay[] = [];
 	for (let index = 0; index < options.daemonsPerZone; index++) {
 		/* eslint-disable no-await-in-loop -- earlier daemons are seeds of the next */
 		// The relay must listen first, because the daemon announces the relay's address to its peers.
 		const relay = await startRelay();
-		fromPeers.push(relay);
-		const daemon = await startMember({
+		peerRelays.push(relay);
+		const daemon = await startFleetDaemon({
 			id: `${name}-${index}`,
 			address,
 			availabilityZone: name,
 			platform,
-			seeds: [...seeds, ...fromPeers.slice(0, index).map(other => other.address)],
+			seeds: [...seeds, ...peerRelays.slice(0, index).map(other => other.address)],
 			limits: options.limits,
 			logUrl: logRelay.url,
 			instancesUrl: listRelay.url,
 			listenPeers: '127.0.0.1:0',
-			announcePeersAs: relay.address,
+			announcedPeersAddress: relay.address,
 			clock: options.makeClock?.(`${name}-${index}`),
 		});
 		relay.setTarget(daemon.peers);
@@ -80,8 +80,8 @@
 		daemons,
 		logRelay,
 		listRelay,
-		fromPeers,
-		setPlatform(mode) {
+		peerRelays,
+		setPlatformRelayMode(mode) {
 			logRelay.setMode(mode);
 			listRelay.setMode(mode);
 		},
@@ -93,7 +93,7 @@
 	const platform = await startPlatform();
 	const zones: Zone[] = [];
 	for (let index = 0; index < options.zones; index++) {
-		const seeds = zones.map(zone => zone.fromPeers[0]!.address);
+		const seeds = zones.map(zone => zone.peerRelays[0]!.address);
 		// eslint-disable-next-line no-await-in-loop -- earlier zones are seeds of the next
 		const zone = await startZone({
 			...options, platform, index, seeds,
@@ -107,18 +107,18 @@
 		platform,
 		zones,
 		daemons,
-		separate(isolatedZones) {
+		isolateZones(isolatedZones) {
 			for (const zone of zones) {
 				const isIsolated = isolatedZones.includes(zone);
 				const others = zones.filter(other => other !== zone && (isIsolated || isolatedZones.includes(other)));
-				for (const relay of zone.fromPeers) {
+				for (const relay of zone.peerRelays) {
 					relay.block(others.map(other => other.address));
 				}
 			}
 		},
 		async close() {
 			await Promise.all(daemons.map(async daemon => daemon.stop()));
-			await Promise.all(zones.flatMap(zone => [zone.logRelay, zone.listRelay, ...zone.fromPeers]).map(async relay => relay.close()));
+			await Promise.all(zones.flatMap(zone => [zone.logRelay, zone.listRelay, ...zone.peerRelays]).map(async relay => relay.close()));
 			await platform.close();
 		},
 	};
--- a/scripts/soak/src/check-history.test.ts
+++ b/scripts/soak/src/check-history.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import {makeUsageReport} from '@shallotpass/platform/stand-ins/check-duties.js';
+import {makeUsageReport} from '@shallotpass/platform/stand-ins/check-cloud-requests.js';
 import {findViolations} from './check-history.js';
 import {formatExpectedStream} from './format-events.js';
 import {
--- a/scripts/soak/src/check-history.ts
+++ b/scripts/soak/src/check-history.ts
@@ -1,5 +1,5 @@
 /** Checks the recorded history of a run against the gateway's guarantees and describes each violation. */
-import {findDutyViolations} from '@shallotpass/platform/stand-ins/check-duties.js';
+import {findCloudRequestViolations} from '@shallotpass/platform/stand-ins/check-cloud-requests.js';
 import {formatExpectedStream} from './format-events.js';
 import {
 	type CallOutcome, type CompletedCall, type History, type BackendRun,
@@ -166,7 +166,7 @@
 		...unrequested,
 		...callViolations,
 		...(callsOverLimit.length > maxCallsOverAttemptLimit ? [`${callsOverLimit.length} calls exceeded the attempt limit of their route; first ${callsOverLimit[0]!.id}`] : []),
-		...findDutyViolations(history.duties, duty => wasHolderDisturbed(duty.holder, duty.at)),
+		...findCloudRequestViolations(history.duties, duty => wasHolderDisturbed(duty.holder, duty.at)),
 		...history.neverReady.map(daemon => `${daemon} did not become ready after the last fault`),
 		...history.ownEnds.map(daemon => `${daemon} exited unexpectedly`),
 		...checkRecovery(history),
--- a/scripts/soak/src/history.ts
+++ b/scripts/soak/src/history.ts
@@ -1,5 +1,5 @@
 /** Events observed by callers, backend servers and the cloud in one run. All times are milliseconds on the monotonic clock of the soak process. */
-import {type DutyCall} from '@shallotpass/platform/stand-ins/cloud-stand-in.js';
+import {type CloudRequest} from '@shallotpass/platform/stand-ins/cloud-stand-in.js';
 import {type RouteName} from '@shallotpass/platform/stand-ins/send-call.js';
 
 /** A call as sent by a caller. */
@@ -63,7 +63,7 @@
 export type History = {
 	readonly calls: readonly CompletedCall[];
 	readonly runs: readonly BackendRun[];
-	readonly duties: readonly DutyCall[];
+	readonly duties: readonly CloudRequest[];
 	readonly disturbances: readonly Disturbance[];
 	readonly bans: readonly Ban[];
 	/** Daemons that exited although the soak neither stopped nor killed them. */
--- a/scripts/soak/src/strike.ts
+++ b/scripts/soak/src/inject-fault.ts
@@ -6,7 +6,7 @@
 } from '@shallotpass/platform/stand-ins/platform-fixture.js';
 import {shopKey} from '@shallotpass/platform/stand-ins/send-call.js';
 import {type Fault, type LinkFault} from './plan-faults.js';
-import {type SoakDaemon, type SoakCluster} from './soak-world.js';
+import {type SoakDaemon, type SoakCluster} from './soak-cluster.js';
 
 /** Latency that a slow link adds in each direction. */
 const addedLatencyMs = 150;
--- a/scripts/soak/src/callers.ts
+++ b/scripts/soak/src/run-caller.ts
@@ -4,7 +4,7 @@
 import {secondKey} from '@shallotpass/platform/stand-ins/platform-fixture.js';
 import {type RouteName, sendCall, shopKey} from '@shallotpass/platform/stand-ins/send-call.js';
 import {type CallOutcome, type CompletedCall, type SentCall} from './history.js';
-import {type SoakCluster} from './soak-world.js';
+import {type SoakCluster} from './soak-cluster.js';
 
 const routes: readonly RouteName[] = ['read', 'book', 'ask', 'draft'];
 
--- a/scripts/soak/src/run-soak.ts
+++ b/scripts/soak/src/run-soak.ts
@@ -3,14 +3,14 @@
 import path from 'node:path';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {makeRandom} from '@shallotpass/core/testing/make-random.js';
-import {runCaller} from './callers.js';
+import {runCaller} from './run-caller.js';
 import {findViolations} from './check-history.js';
 import {type CompletedCall, type History, type BackendRun} from './history.js';
 import {planFaults} from './plan-faults.js';
 import {
 	backendCount, closeSoakCluster, type SoakCluster, startSoakCluster, waitForReady,
-} from './soak-world.js';
-import {injectFault} from './strike.js';
+} from './soak-cluster.js';
+import {injectFault} from './inject-fault.js';
 
 export type SoakOptions = {
 	readonly seed: number;
--- a/tests/src/answers.test.ts
+++ b/tests/src/answers.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import {askStream, reserve} from '@shallotpass/measure/caller-client.js';
+import {streamChat, sendReservation} from '@shallotpass/measure/caller-client.js';
 import {callerKey, waitFor} from '@shallotpass/measure/local-fleet.js';
 import {request} from 'undici';
 import {startFleet} from './fleet-fixture.js';
@@ -9,13 +9,13 @@
 	const fleet = await startFleet(t);
 	const [first, second] = fleet.daemons;
 	const answers = await Promise.all(Array.from({length: 20}, async (_value, index) =>
-		askStream({address: (index % 2 === 0 ? first : second)!.callers, marker: `m${index}`, tokens: 15})));
+		streamChat({address: (index % 2 === 0 ? first : second)!.callers, marker: `m${index}`, tokens: 15})));
 	for (const answer of answers) {
-		assert.equal(answer.isWhole, true);
-		assert.equal(answer.strayTokens, 0);
+		assert.equal(answer.isComplete, true);
+		assert.equal(answer.unexpectedTokens, 0);
 	}
 
-	const plain = await reserve({
+	const plain = await sendReservation({
 		address: first!.callers, key: undefined, body: '{"series": 1}', path: '/services/catalogue/find?x=1',
 	});
 	assert.equal(plain.status, 200);
@@ -39,7 +39,7 @@
 	// Otherwise the engine would finish an answer that nobody reads while other requests wait.
 	const fleet = await startFleet(t, {daemons: 1, engines: [{parameters: {stepMs: 5}}]});
 	const callerAbort = new AbortController();
-	const pendingAnswer = askStream({
+	const pendingAnswer = streamChat({
 		address: fleet.daemons[0]!.callers, marker: 'gone', tokens: 5000, signal: callerAbort.signal, onToken(index) {
 			if (index === 3) {
 				callerAbort.abort();
@@ -89,8 +89,8 @@
 			engine.faults.add(fault);
 		}
 
-		const answer = await askStream({address: fleet.daemons[0]!.callers, marker: 'own', tokens: 20});
-		assert.deepEqual({whole: answer.isWhole, stray: answer.strayTokens, tokens: answer.tokens}, {whole: true, stray: 0, tokens: 20});
+		const answer = await streamChat({address: fleet.daemons[0]!.callers, marker: 'own', tokens: 20});
+		assert.deepEqual({whole: answer.isComplete, stray: answer.unexpectedTokens, tokens: answer.tokens}, {whole: true, stray: 0, tokens: 20});
 	});
 }
 
@@ -103,8 +103,8 @@
 		fleet.engines[0]!.faults.add({
 			on: 'chat', kind: 'mismatch', afterChunks: 5, times: 1,
 		});
-		const answer = await askStream({address: fleet.daemons[0]!.callers, marker: `own${index}`, tokens: 20}); // eslint-disable-line no-await-in-loop -- one after the other
-		assert.deepEqual({whole: answer.isWhole, stray: answer.strayTokens}, {whole: true, stray: 0});
+		const answer = await streamChat({address: fleet.daemons[0]!.callers, marker: `own${index}`, tokens: 20}); // eslint-disable-line no-await-in-loop -- one after the other
+		assert.deepEqual({whole: answer.isComplete, stray: answer.unexpectedTokens}, {whole: true, stray: 0});
 	}
 });
 
@@ -116,9 +116,9 @@
 		engine.faults.add({on: 'chat', kind: 'break', afterChunks: 2});
 	}
 
-	const answer = await askStream({address: fleet.daemons[0]!.callers, marker: 'own', tokens: 200});
-	assert.equal(answer.isWhole, false);
-	assert.equal(answer.strayTokens, 0);
+	const answer = await streamChat({address: fleet.daemons[0]!.callers, marker: 'own', tokens: 200});
+	assert.equal(answer.isComplete, false);
+	assert.equal(answer.unexpectedTokens, 0);
 	assert.equal(answer.problem?.kind, 'invalid_backend_answer');
 	assert.equal(answer.problem?.executed, 'unknown');
 });
@@ -128,20 +128,20 @@
 	// must continue, and the engine must not receive new requests after the notice.
 	const fleet = await startFleet(t, {daemons: 1, engines: [{parameters: {stepMs: 10}}, {parameters: {stepMs: 10}}]});
 	const [daemon] = fleet.daemons;
-	const streams = Array.from({length: 6}, async (_value, index) => askStream({address: daemon!.callers, marker: `r${index}`, tokens: 300}));
+	const streams = Array.from({length: 6}, async (_value, index) => streamChat({address: daemon!.callers, marker: `r${index}`, tokens: 300}));
 	// Waits for all six, because a request sent before the notice is known may arrive after it.
 	await waitFor('all streams are running', () => fleet.engines.reduce((sum, engine) => sum + engine.countRunning(), 0) === streams.length);
 	assert.ok(fleet.engines[0]!.countRunning() > 0);
-	fleet.platform.cloud.giveNotice('engine-0', Date.now() + 2000);
+	fleet.platform.cloud.announceReclaim('engine-0', Date.now() + 2000);
 	await waitFor('the notice is known', async () => {
 		const text = await daemon!.environment.metrics.registry.getSingleMetricAsString('shallotpass_backends');
 		return text.includes('state="leaving"} 1');
 	});
 	const requestsBefore = fleet.engines[0]!.countRequests();
-	const laterStreams = Array.from({length: 6}, async (_value, index) => askStream({address: daemon!.callers, marker: `l${index}`, tokens: 5}));
+	const laterStreams = Array.from({length: 6}, async (_value, index) => streamChat({address: daemon!.callers, marker: `l${index}`, tokens: 5}));
 	await waitFor('the leaving engine is idle', () => fleet.engines[0]!.countRunning() === 0);
 	await fleet.engines[0]!.close();
 	const answers = await Promise.all([...streams, ...laterStreams]);
 	assert.equal(fleet.engines[0]!.countRequests(), requestsBefore);
-	assert.deepEqual(answers.filter(answer => !answer.isWhole || answer.strayTokens > 0), []);
+	assert.deepEqual(answers.filter(answer => !answer.isComplete || answer.unexpectedTokens > 0), []);
 });
