--- a/tests/src/must-not-repeat.test.ts
+++ b/tests/src/at-most-once.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import {reserve} from '@shallotpass/measure/caller-client.js';
+import {sendReservation} from '@shallotpass/measure/caller-client.js';
 import {waitFor} from '@shallotpass/measure/local-fleet.js';
 import {startFleet} from './fleet-fixture.js';
 
@@ -11,7 +11,7 @@
 	// execution would charge the customer twice.
 	const fleet = await startFleet(t, {daemons: 3});
 	const answers = await Promise.all(Array.from({length: 12}, async (_value, index) =>
-		reserve({address: fleet.daemons[index % 3]!.callers, key: 'order-1', body})));
+		sendReservation({address: fleet.daemons[index % 3]!.callers, key: 'order-1', body})));
 	assert.equal(fleet.countExecutions(), 1);
 	assert.deepEqual(new Set(answers.map(answer => answer.status)), new Set([200]));
 	assert.equal(answers.filter(answer => !answer.isReplayed).length, 1);
@@ -20,10 +20,10 @@
 test('a key reused with another body and a call without a key are refused without execution', async t => {
 	const fleet = await startFleet(t, {daemons: 1});
 	const {callers} = fleet.daemons[0]!;
-	await reserve({address: callers, key: 'order-1', body});
-	const reusedKey = await reserve({address: callers, key: 'order-1', body: '{"issue": "Dune 13"}'});
+	await sendReservation({address: callers, key: 'order-1', body});
+	const reusedKey = await sendReservation({address: callers, key: 'order-1', body: '{"issue": "Dune 13"}'});
 	assert.deepEqual([reusedKey.status, reusedKey.body.kind, reusedKey.body.executed], [422, 'idempotency_key_reused', 'no']);
-	const withoutKey = await reserve({address: callers, key: undefined, body});
+	const withoutKey = await sendReservation({address: callers, key: undefined, body});
 	assert.deepEqual([withoutKey.status, withoutKey.body.kind, withoutKey.body.executed], [400, 'idempotency_key_required', 'no']);
 	assert.equal(fleet.countExecutions(), 1);
 });
@@ -34,17 +34,17 @@
 	const fleet = await startFleet(t, {daemons: 2});
 	fleet.platform.log.faults.add({on: 'append', kind: 'refuse'});
 	fleet.platform.log.faults.add({on: 'read', kind: 'refuse'});
-	const refused = await reserve({address: fleet.daemons[0]!.callers, key: 'order-1', body});
+	const refused = await sendReservation({address: fleet.daemons[0]!.callers, key: 'order-1', body});
 	assert.deepEqual([refused.status, refused.body.kind, refused.body.executed], [503, 'claims_unavailable', 'no']);
 	assert.ok(Number(refused.retryAfter) >= 1);
-	const repeatable = await reserve({
+	const repeatable = await sendReservation({
 		address: fleet.daemons[0]!.callers, key: undefined, body: '{}', path: '/services/catalogue/find',
 	});
 	assert.equal(repeatable.status, 200);
 	assert.equal(fleet.countExecutions(), 1);
 	fleet.platform.log.faults.clear();
 	await waitFor('the key can be used again', async () => {
-		const answer = await reserve({address: fleet.daemons[1]!.callers, key: 'order-1', body});
+		const answer = await sendReservation({address: fleet.daemons[1]!.callers, key: 'order-1', body});
 		return answer.status === 200;
 	});
 	assert.equal(fleet.countExecutions(), 2);
@@ -55,9 +55,9 @@
 	// claim again with a new id nor give up: the reservation must be executed exactly once.
 	const fleet = await startFleet(t, {daemons: 2});
 	fleet.platform.log.faults.add({on: 'append', kind: 'lose_reply', times: 3});
-	const answer = await reserve({address: fleet.daemons[0]!.callers, key: 'order-1', body});
+	const answer = await sendReservation({address: fleet.daemons[0]!.callers, key: 'order-1', body});
 	assert.equal(answer.status, 200);
-	const retry = await reserve({address: fleet.daemons[1]!.callers, key: 'order-1', body});
+	const retry = await sendReservation({address: fleet.daemons[1]!.callers, key: 'order-1', body});
 	assert.deepEqual([retry.status, retry.isReplayed], [200, true]);
 	assert.equal(fleet.countExecutions(), 1);
 });
@@ -83,9 +83,9 @@
 			service.faults.add({on: 'call', kind: fault});
 		}
 
-		const answer = await reserve({address: fleet.daemons[0]!.callers, key: 'order-1', body});
+		const answer = await sendReservation({address: fleet.daemons[0]!.callers, key: 'order-1', body});
 		assert.deepEqual([answer.status, answer.body.kind, answer.body.executed], [502, kind, 'unknown']);
-		const retry = await reserve({address: fleet.daemons[1]!.callers, key: 'order-1', body});
+		const retry = await sendReservation({address: fleet.daemons[1]!.callers, key: 'order-1', body});
 		assert.deepEqual([retry.status, retry.body.kind, retry.body.executed], [409, 'outcome_unknown', 'unknown']);
 		assert.equal(fleet.countExecutions(), 1);
 	});
@@ -97,7 +97,7 @@
 	const fleet = await startFleet(t, {daemons: 1, services: 2});
 	await fleet.services[0]!.close();
 	const answers = await Promise.all(Array.from({length: 8}, async (_value, index) =>
-		reserve({address: fleet.daemons[0]!.callers, key: `order-${index}`, body})));
+		sendReservation({address: fleet.daemons[0]!.callers, key: `order-${index}`, body})));
 	assert.deepEqual(answers.map(answer => answer.status), Array.from({length: 8}, () => 200));
 	assert.equal(fleet.countExecutions(), 8);
 });
@@ -105,7 +105,7 @@
 test('without a reachable backend server the call is not executed and the key can be used again', async t => {
 	const fleet = await startFleet(t, {daemons: 1});
 	await fleet.services[0]!.close();
-	const refused = await reserve({address: fleet.daemons[0]!.callers, key: 'order-1', body});
+	const refused = await sendReservation({address: fleet.daemons[0]!.callers, key: 'order-1', body});
 	assert.deepEqual([refused.status, refused.body.kind, refused.body.executed], [502, 'backend_unreachable', 'no']);
 	const {startPlainServiceStandIn} = await import('@shallotpass/stand-ins/plain-service-stand-in.js');
 	// Uses a new address, because another program may have taken the old port.
@@ -115,7 +115,7 @@
 	});
 	t.after(async () => replacement.close());
 	await waitFor('a call with the key succeeds', async () => {
-		const answer = await reserve({address: fleet.daemons[0]!.callers, key: 'order-1', body});
+		const answer = await sendReservation({address: fleet.daemons[0]!.callers, key: 'order-1', body});
 		return answer.status === 200;
 	});
 	assert.equal(replacement.executions.length, 1);
@@ -129,13 +129,13 @@
 		on: 'call', kind: 'delay', delayMs: 400, times: 1,
 	});
 	const callerAbort = new AbortController();
-	const first = reserve({
+	const first = sendReservation({
 		address: fleet.daemons[0]!.callers, key: 'order-1', body, signal: callerAbort.signal,
 	});
 	await waitFor('the call is running', () => fleet.countExecutions() === 1);
 	callerAbort.abort();
 	await assert.rejects(first);
-	const retry = await reserve({address: fleet.daemons[1]!.callers, key: 'order-1', body});
+	const retry = await sendReservation({address: fleet.daemons[1]!.callers, key: 'order-1', body});
 	assert.deepEqual([retry.status, retry.isReplayed], [200, true]);
 	assert.equal(fleet.countExecutions(), 1);
 });
@@ -144,12 +144,12 @@
 	// Whether the call was executed cannot be determined, so it must not be executed again.
 	const fleet = await startFleet(t, {daemons: 3});
 	fleet.services[0]!.faults.add({on: 'call', kind: 'silent', times: 1});
-	const first = reserve({address: fleet.daemons[2]!.callers, key: 'order-1', body});
+	const first = sendReservation({address: fleet.daemons[2]!.callers, key: 'order-1', body});
 	const firstRejected = assert.rejects(first);
 	await waitFor('the call is running', () => fleet.countExecutions() === 1);
 	await fleet.daemons[2]!.stop();
 	await firstRejected;
-	const retry = await reserve({address: fleet.daemons[0]!.callers, key: 'order-1', body});
+	const retry = await sendReservation({address: fleet.daemons[0]!.callers, key: 'order-1', body});
 	assert.deepEqual([retry.status, retry.body.kind, retry.body.executed], [409, 'outcome_unknown', 'unknown']);
 	assert.equal(fleet.countExecutions(), 1);
 });
--- a/tests/src/bad-input.test.ts
+++ b/tests/src/bad-input.test.ts
@@ -5,8 +5,8 @@
 import {configurationSchema} from '@shallotpass/common/configuration-schema.js';
 import {settingsSchema} from '@shallotpass/common/settings-schema.js';
 import {formatMistake, readToml} from '@shallotpass/common/toml-file.js';
-import {applyThrough, callerKey, makeConfigurationText} from '@shallotpass/measure/local-fleet.js';
-import {askStream} from '@shallotpass/measure/caller-client.js';
+import {applyConfiguration, callerKey, makeConfigurationText} from '@shallotpass/measure/local-fleet.js';
+import {streamChat} from '@shallotpass/measure/caller-client.js';
 import {startFleet} from './fleet-fixture.js';
 
 type RawAnswer = {readonly status: number; readonly kind: string; readonly executed: string};
@@ -128,8 +128,8 @@
 		assert.deepEqual(parseRaw(answers[index]!), {status, kind, executed: 'no'}, name);
 	}
 
-	assert.equal(fleet.services[0]!.countSeen(), 0);
-	assert.equal((await askStream({address: callers, marker: 'after', tokens: 3})).isWhole, true); // eslint-disable-line unicorn/no-await-expression-member -- one look
+	assert.equal(fleet.services[0]!.countReceived(), 0);
+	assert.equal((await streamChat({address: callers, marker: 'after', tokens: 3})).isComplete, true); // eslint-disable-line unicorn/no-await-expression-member -- one look
 });
 
 test('random bytes do not crash the daemon', async t => {
@@ -142,8 +142,8 @@
 	await fc.assert(fc.asyncProperty(bytes, fc.constantFrom(callers, peers, admin), async (randomBytes, address) => {
 		await sendRaw(address, randomBytes, true);
 	}), {seed: 7, numRuns: 150});
-	const answer = await askStream({address: callers, marker: 'after', tokens: 3});
-	assert.equal(answer.isWhole, true);
+	const answer = await streamChat({address: callers, marker: 'after', tokens: 3});
+	assert.equal(answer.isComplete, true);
 });
 
 type BadConfiguration = {
@@ -191,9 +191,9 @@
 	const fleet = await startFleet(t, {daemons: 1});
 	const [daemon] = fleet.daemons;
 	const versionBefore = daemon!.getVersion('default');
-	const invalid = await applyThrough(daemon!, 'class = 3');
+	const invalid = await applyConfiguration(daemon!, 'class = 3');
 	assert.deepEqual([invalid.status, invalid.body.kind], [422, 'configuration_invalid']);
-	const stale = await applyThrough(daemon!, makeConfigurationText('stale'), -1);
+	const stale = await applyConfiguration(daemon!, makeConfigurationText('stale'), -1);
 	assert.deepEqual([stale.status, stale.body.kind], [409, 'configuration_conflict']);
 	const response = await fetch(`http://${daemon!.admin}/admin/v1/teams/default/configuration`, {method: 'PUT', headers: {authorization: 'Bearer nobody'}, body: makeConfigurationText()});
 	assert.equal(response.status, 401);
--- a/tests/src/claim-history.test.ts
+++ b/tests/src/claim-history.test.ts
@@ -9,7 +9,7 @@
 import {makeKeyName} from '@shallotpass/core/claims/claim-state.js';
 import {makeSettings} from '@shallotpass/measure/local-fleet.js';
 import {type PeerClient} from '@shallotpass/peers/peer-client.js';
-import {type ClaimAnswer} from '@shallotpass/peers/peer-methods.js';
+import {type ClaimResult} from '@shallotpass/peers/peer-methods.js';
 import {makeMemoryLog} from '@shallotpass/provider/memory-log.js';
 import {makeClaimService, type ClaimService} from '@shallotpass/tasks/claim-service.js';
 import {type MembershipTask} from '@shallotpass/tasks/membership-task.js';
@@ -97,7 +97,7 @@
 	const ids = Array.from({length: daemonCount}, (_value, index) => `entry-${index}`);
 	for (const id of ids) {
 		const client = {
-			ask: async (address: string, method: string, parameters: {claim: Claim; isNew: boolean; keyName: string; outcome: never}) => deliver(peerDeliveries, 'ask', async () => {
+			call: async (address: string, method: string, parameters: {claim: Claim; isNew: boolean; keyName: string; outcome: never}) => deliver(peerDeliveries, 'ask', async () => {
 				const index = ids.indexOf(address);
 				if (!alive[index]) {
 					throw new Error('the daemon has crashed');
@@ -110,7 +110,7 @@
 		} as unknown as PeerClient;
 		const membership = {
 			getSelf: () => ({id}),
-			listSteady: () => ids.filter((_member, index) => alive[index]),
+			listAssignable: () => ids.filter((_member, index) => alive[index]),
 			listReachable: () => ids.filter((_member, index) => alive[index]),
 			findAddress: (member: string) => member,
 			isProcessGone: (owner: string) => !alive[ids.indexOf(owner)],
@@ -177,7 +177,7 @@
 
 	const claim = makeClaim(call, plan.calls[call]!, system.clock.now());
 	const keyName = makeKeyName(claim);
-	let answer: ClaimAnswer = await service.claim(claim, claim.dispatchBy as Deadline);
+	let answer: ClaimResult = await service.claim(claim, claim.dispatchBy as Deadline);
 	if (!await takeStep(system, plan, daemon)) {
 		return;
 	}
--- a/tests/src/fleet-daemons.test.ts
+++ b/tests/src/fleet-daemons.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import {applyThrough, makeConfigurationText, waitFor} from '@shallotpass/measure/local-fleet.js';
+import {applyConfiguration, makeConfigurationText, waitFor} from '@shallotpass/measure/local-fleet.js';
 import {makeHttpCloud} from '@shallotpass/provider/http-cloud.js';
 import {startCloudStandIn} from '@shallotpass/stand-ins/cloud-stand-in.js';
 import {Agent} from 'undici';
@@ -19,7 +19,7 @@
 	assert.deepEqual([await client.start(startOrder), await client.start(startOrder)], ['started', 'started']);
 	const [instance, ...others] = await client.list();
 	assert.deepEqual([instance!.token, instance!.isReclaimable, instance!.isLeaving, others.length], ['t1', true, false, 0]);
-	cloud.giveNotice(instance!.id, Date.now() + 60_000);
+	cloud.announceReclaim(instance!.id, Date.now() + 60_000);
 	assert.deepEqual((await client.list()).map(item => item.isLeaving), [true]); // eslint-disable-line unicorn/no-await-expression-member -- one look
 	await client.end(instance!.id);
 	await client.end(instance!.id);
@@ -29,7 +29,7 @@
 	cloud.faults.add({on: 'start', kind: 'lose_reply', times: 1});
 	await assert.rejects(client.start({...startOrder, token: 't3'}));
 	assert.equal(await client.start({...startOrder, token: 't3'}), 'started');
-	assert.equal(cloud.countEverStarted(), 2);
+	assert.equal(cloud.countAllStarted(), 2);
 });
 
 test('daemons start a required instance only once although the cloud\'s reply is lost', async t => {
@@ -46,7 +46,7 @@
 	const fleet = await startFleet(t, {daemons: 4, engines: []});
 	const {cloud} = fleet.platform;
 	cloud.faults.add({on: 'start', kind: 'lose_reply', times: 1});
-	await applyThrough(fleet.daemons[0]!, configurationText, fleet.daemons[0]!.getVersion('default'));
+	await applyConfiguration(fleet.daemons[0]!, configurationText, fleet.daemons[0]!.getVersion('default'));
 	await waitFor('an instance is running', () => cloud.listStarted().length > 0, 30_000);
 	await waitFor('the result of the start is recorded', async () => {
 		const texts = await Promise.all(fleet.daemons.map(async daemon => daemon.environment.metrics.registry.getSingleMetricAsString('shallotpass_fleet_starts_total')));
@@ -54,5 +54,5 @@
 	}, 30_000);
 	const [instance] = cloud.listStarted();
 	assert.deepEqual([instance!.availabilityZone, instance!.machineClass, instance!.reclaimable], ['zone-1', 'a', true]);
-	assert.equal(cloud.countEverStarted(), 1);
+	assert.equal(cloud.countAllStarted(), 1);
 });
--- a/tests/src/fleet-fixture.ts
+++ b/tests/src/fleet-fixture.ts
@@ -2,9 +2,9 @@
 import {type TestContext} from 'node:test';
 import {type Daemon} from '@shallotpass/daemon/start-daemon.js';
 import {
-	applyThrough,
+	applyConfiguration,
 	makeConfigurationText,
-	startMember,
+	startFleetDaemon,
 	startPlatform,
 	waitFor,
 	type FleetPlatform,
@@ -18,7 +18,7 @@
 	readonly daemons?: number;
 	readonly engines?: readonly EngineOptions[];
 	readonly services?: number;
-	readonly limits?: Parameters<typeof startMember>[0]['limits'];
+	readonly limits?: Parameters<typeof startFleetDaemon>[0]['limits'];
 	readonly configurationText?: string;
 };
 
@@ -61,7 +61,7 @@
 
 	const daemons: Daemon[] = [];
 	const join = async (id: string, availabilityZone: string): Promise<Daemon> => {
-		const daemon = await startMember({
+		const daemon = await startFleetDaemon({
 			id, availabilityZone, platform, seeds: daemons.slice(0, 2).map(other => other.peers), limits: options.limits,
 		});
 		daemons.push(daemon);
@@ -79,7 +79,7 @@
 	}
 
 	await waitFor('the daemons know each other', () => daemons.every(daemon => daemon.listMembers().length === count));
-	const applied = await applyThrough(daemons[0]!, options.configurationText ?? makeConfigurationText());
+	const applied = await applyConfiguration(daemons[0]!, options.configurationText ?? makeConfigurationText());
 	await waitFor('the configuration is in force', () => daemons.every(daemon => daemon.getVersion('default') === applied.body.version));
 	await Promise.all(daemons.map(async daemon => waitForBackends(daemon, engines.length + services.length)));
 	return {
--- a/tests/src/fleet-duty.test.ts
+++ b/tests/src/fleet-scaling.test.ts
@@ -6,7 +6,7 @@
 import {makeMemoryCloud, type MemoryCloud} from '@shallotpass/measure/fleet/memory-cloud.js';
 import {makeSettings} from '@shallotpass/measure/local-fleet.js';
 import {makeMemoryLog} from '@shallotpass/provider/memory-log.js';
-import {makeFleetDuty, type FleetDuty} from '@shallotpass/tasks/fleet-duty.js';
+import {makeFleetScaler, type FleetScaler} from '@shallotpass/tasks/fleet-scaler.js';
 import {makeLogger} from '@shallotpass/telemetry/logger.js';
 import {makeMetrics} from '@shallotpass/telemetry/metrics.js';
 
@@ -26,15 +26,15 @@
 /** Fleet duties of one holder per zone, on an in-memory log and cloud with a manual clock. */
 type DutyFixture = {
 	readonly cloud: MemoryCloud;
-	readonly duties: ReadonlyMap<string, FleetDuty>;
-	readonly join: (holder: string, availabilityZone: string) => FleetDuty;
+	readonly duties: ReadonlyMap<string, FleetScaler>;
+	readonly join: (holder: string, availabilityZone: string) => FleetScaler;
 	readonly advance: (milliseconds: number) => void;
 	/** Runs rounds of all holders except the excluded ones. */
 	readonly run: (rounds: number, excludedHolders?: readonly string[]) => Promise<void>;
 	readonly countServing: () => number;
 	/** Instances whose end was announced to the daemons. */
 	readonly announced: string[];
-	demandPlaces: number;
+	demandSlots: number;
 	isLogDown: boolean;
 };
 
@@ -59,9 +59,9 @@
 	};
 
 	const cloud = makeMemoryCloud({now: () => now, startMs: 5000});
-	const duties = new Map<string, FleetDuty>();
-	const join = (holder: string, availabilityZone: string): FleetDuty => {
-		const duty = makeFleetDuty({
+	const duties = new Map<string, FleetScaler>();
+	const join = (holder: string, availabilityZone: string): FleetScaler => {
+		const duty = makeFleetScaler({
 			environment: {
 				settings: makeSettings({id: holder, availabilityZone, platform: undefined}),
 				clock,
@@ -73,14 +73,14 @@
 			log,
 			cloud,
 			plan: makeFleetPlanner({
-				headroom: 1.25, peakReserve: 0, minPlaces: 5, minRuntimeMs: 0,
+				headroom: 1.25, peakReserve: 0, minSlots: 5, minRuntimeMs: 0,
 			}),
 			availabilityZone,
 			holder,
 			announceEnd(instanceId) {
 				fixture.announced.push(instanceId);
 			},
-			measureDemand: () => ({offers, fixedPlaces: 0, demandPlaces: fixture.demandPlaces}),
+			measureDemand: () => ({offers, fixedSlots: 0, demandSlots: fixture.demandSlots}),
 			timing: {
 				roundIntervalMs: roundMs, leaseMs, listingTimeoutMs: 60_000, firstRefusalWaitMs: 10_000, drainMs: roundMs,
 			},
@@ -109,7 +109,7 @@
 		},
 		countServing: () => cloud.listRunning().filter(instance => !instance.isLeaving).length,
 		announced: [],
-		demandPlaces: 64,
+		demandSlots: 64,
 		isLogDown: false,
 	};
 	for (const zone of zones) {
@@ -129,7 +129,7 @@
 	assert.equal(running.length, expectedInstances);
 	assert.ok(running.every(instance => instance.isReclaimable));
 	assert.deepEqual(zones.map(zone => running.some(instance => instance.availabilityZone === zone)), [true, true, true]);
-	fixture.demandPlaces = 6;
+	fixture.demandSlots = 6;
 	await fixture.run(8);
 	assert.equal(fixture.countServing(), 1);
 	assert.deepEqual(new Set(fixture.announced), new Set(fixture.cloud.instances.filter(instance => instance.endedAt !== undefined).map(instance => instance.id)));
@@ -153,9 +153,9 @@
 	{
 		name: 'a whole zone is reclaimed and the other zones replace it',
 		async injectFault(fixture) {
-			const leaving = fixture.cloud.announce(instance => instance.availabilityZone === 'zone-1');
+			const leaving = fixture.cloud.announceTermination(instance => instance.availabilityZone === 'zone-1');
 			await fixture.run(2);
-			fixture.cloud.takeAway(leaving);
+			fixture.cloud.terminate(leaving);
 			fixture.cloud.soldOut.add('zone-1 a reclaimable');
 			await fixture.run(6);
 		},
@@ -166,7 +166,7 @@
 		async injectFault(fixture) {
 			markSoldOutEverywhere(fixture, true);
 			const startCallsBefore = fixture.cloud.countStartCalls();
-			fixture.cloud.takeAway(fixture.cloud.listRunning().slice(0, 4));
+			fixture.cloud.terminate(fixture.cloud.listRunning().slice(0, 4));
 			await fixture.run(8);
 			assert.ok(fixture.cloud.countStartCalls() - startCallsBefore <= 24, String(fixture.cloud.countStartCalls() - startCallsBefore));
 			assert.ok(fixture.cloud.listRunning().some(instance => !instance.isReclaimable));
@@ -176,10 +176,10 @@
 	{
 		name: 'instances are reclaimed during a scale-up',
 		async injectFault(fixture) {
-			fixture.demandPlaces = 96;
+			fixture.demandSlots = 96;
 			await fixture.run(1);
-			fixture.cloud.takeAway(fixture.cloud.listRunning().slice(0, 3));
-			fixture.demandPlaces = 64;
+			fixture.cloud.terminate(fixture.cloud.listRunning().slice(0, 3));
+			fixture.demandSlots = 64;
 			await fixture.run(8);
 		},
 		maxExtraStarts: 8,
@@ -187,7 +187,7 @@
 	{
 		name: 'replies to start calls are lost and no instance is started twice',
 		async injectFault(fixture) {
-			fixture.cloud.takeAway(fixture.cloud.listRunning().slice(0, 3));
+			fixture.cloud.terminate(fixture.cloud.listRunning().slice(0, 3));
 			fixture.cloud.faults.add('lose_start_replies');
 			await fixture.run(5);
 			fixture.cloud.faults.clear();
@@ -199,9 +199,9 @@
 		name: 'the cloud has a long outage and running instances are kept',
 		async injectFault(fixture) {
 			fixture.cloud.faults.add('down');
-			fixture.demandPlaces = 8;
+			fixture.demandSlots = 8;
 			await fixture.run(60);
-			fixture.demandPlaces = 64;
+			fixture.demandSlots = 64;
 			fixture.cloud.faults.clear();
 			await fixture.run(4);
 		},
@@ -211,9 +211,9 @@
 		name: 'the log has a long outage and running instances are kept',
 		async injectFault(fixture) {
 			fixture.isLogDown = true;
-			fixture.demandPlaces = 8;
+			fixture.demandSlots = 8;
 			await fixture.run(60);
-			fixture.demandPlaces = 64;
+			fixture.demandSlots = 64;
 			fixture.isLogDown = false;
 			await fixture.run(4);
 		},
@@ -223,7 +223,7 @@
 		name: 'a holder is paused beyond its lease and resumes after another has taken over',
 		async injectFault(fixture) {
 			fixture.join('second-zone-1', 'zone-1');
-			fixture.cloud.takeAway(fixture.cloud.listRunning().filter(instance => instance.availabilityZone === 'zone-1'));
+			fixture.cloud.terminate(fixture.cloud.listRunning().filter(instance => instance.availabilityZone === 'zone-1'));
 			await fixture.run(12, ['holder-zone-1']);
 			assert.equal(fixture.duties.get('second-zone-1')!.isHolder(), true);
 			await fixture.run(4);
@@ -263,7 +263,7 @@
 	const fixture = makeDutyFixture();
 	await fixture.run(8);
 	const [token] = [...fixture.duties.get('holder-zone-1')!.getState().orders.values()].filter(order => order.availabilityZone === 'zone-1').map(order => order.token);
-	fixture.demandPlaces = 8;
+	fixture.demandSlots = 8;
 	await fixture.run(6);
 	const closed = [...fixture.duties.get('holder-zone-1')!.getState().orders.values()].find(order => order.isClosed && order.availabilityZone === 'zone-1');
 	assert.notEqual(token, undefined);
--- a/tests/src/history-check.test.ts
+++ b/tests/src/history-check.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import {findViolations, type PromiseName} from '@shallotpass/measure/history/check-history.js';
+import {findViolations, type GuaranteeName} from '@shallotpass/measure/history/check-history.js';
 import {makeHistory, type CallEvent, type History} from '@shallotpass/measure/history/types.js';
 
 const call = (changes: Partial<CallEvent>): CallEvent => ({
-	kind: 'stream', key: 's', daemon: 'entry-1', sentAt: 100, endedAt: 200, told: 'answered', errorKind: undefined, isOwnAnswer: true, ...changes,
+	kind: 'stream', key: 's', daemon: 'entry-1', sentAt: 100, endedAt: 200, outcome: 'answered', errorKind: undefined, isOwnAnswer: true, ...changes,
 });
 
 /** Makes a history without violations that contains events of every kind. */
@@ -14,11 +14,11 @@
 		call({}),
 		call({kind: 'once', key: 'r'}),
 		call({
-			kind: 'once', key: 'lost', told: 'unknown', errorKind: 'outcome_unknown', sentAt: 510, endedAt: 520,
+			kind: 'once', key: 'lost', outcome: 'unknown', errorKind: 'outcome_unknown', sentAt: 510, endedAt: 520,
 		}),
-		call({key: 'refused', told: 'not_run', errorKind: 'no_backend'}),
+		call({key: 'refused', outcome: 'not_run', errorKind: 'no_backend'}),
 		call({
-			daemon: 'entry-2', key: 'gone', told: 'cut', sentAt: 900, endedAt: 1000,
+			daemon: 'entry-2', key: 'gone', outcome: 'cut', sentAt: 900, endedAt: 1000,
 		}),
 	],
 	arrivals: [
@@ -37,51 +37,51 @@
 	],
 	notices: [{backend: 'engine-1', at: 50, leavesAt: 9000}],
 	versions: [{daemon: 'entry-1', version: 1, at: 0}, {daemon: 'entry-1', version: 2, at: 60}],
-	accepted: [{version: 2, at: 40}],
+	acceptedVersions: [{version: 2, at: 40}],
 	stops: [{daemon: 'entry-1', isPlanned: true, at: 150}, {daemon: 'entry-2', isPlanned: false, at: 950}],
-	harms: [{what: 'lost replies', from: 500, to: 600}],
+	faults: [{description: 'lost replies', from: 500, to: 600}],
 	finalVersions: [{daemon: 'entry-1', version: 2, at: 1000}],
-	crashedBy: [{key: 'bad', backends: 2}],
+	crashingRequests: [{key: 'bad', backends: 2}],
 });
 
-type ViolationCase = {readonly name: string; readonly promise: PromiseName; readonly addViolation: (history: History) => void};
+type ViolationCase = {readonly name: string; readonly guarantee: GuaranteeName; readonly addViolation: (history: History) => void};
 
 const violationCases: readonly ViolationCase[] = [
 	{
 		name: 'a stream that fails with an unknown outcome',
-		promise: 'accepted work survives announced reclaims',
+		guarantee: 'accepted work survives announced reclaims',
 		addViolation({calls}) {
-			calls.push(call({key: 'x', told: 'unknown', errorKind: 'backend_failed'}));
+			calls.push(call({key: 'x', outcome: 'unknown', errorKind: 'backend_failed'}));
 		},
 	},
 	{
 		name: 'a reservation with an unknown outcome without lost replies',
-		promise: 'accepted work survives announced reclaims',
+		guarantee: 'accepted work survives announced reclaims',
 		addViolation({calls}) {
 			calls.push(call({
-				kind: 'once', key: 'x', told: 'unknown', errorKind: 'outcome_unknown',
+				kind: 'once', key: 'x', outcome: 'unknown', errorKind: 'outcome_unknown',
 			}));
 		},
 	},
 	{
 		name: 'a stream that fails during an outage of the log',
-		promise: 'accepted work survives announced reclaims',
+		guarantee: 'accepted work survives announced reclaims',
 		addViolation({calls}) {
 			calls.push(call({
-				key: 'x', told: 'unknown', errorKind: 'backend_failed', sentAt: 510, endedAt: 520,
+				key: 'x', outcome: 'unknown', errorKind: 'backend_failed', sentAt: 510, endedAt: 520,
 			}));
 		},
 	},
 	{
 		name: 'a token from another answer',
-		promise: 'callers get their own answers whole',
+		guarantee: 'callers get their own answers whole',
 		addViolation({calls}) {
 			calls.push(call({key: 'x', isOwnAnswer: false}));
 		},
 	},
 	{
 		name: 'a stream refused as not executed that reached an engine',
-		promise: 'what was said not to have run did not run',
+		guarantee: 'what was said not to have run did not run',
 		addViolation({arrivals}) {
 			arrivals.push({
 				kind: 'stream', backend: 'engine-2', key: 'refused', at: 130,
@@ -90,7 +90,7 @@
 	},
 	{
 		name: 'a reservation that is executed by two servers',
-		promise: 'what must not repeat runs at most once',
+		guarantee: 'what must not repeat runs at most once',
 		addViolation({arrivals}) {
 			arrivals.push({
 				kind: 'once', backend: 'reservations-2', key: 'r', at: 190,
@@ -99,7 +99,7 @@
 	},
 	{
 		name: 'an engine that receives a request four seconds after its notice',
-		promise: 'a leaving backend server gets nothing new',
+		guarantee: 'a leaving backend server gets nothing new',
 		addViolation({arrivals}) {
 			arrivals.push({
 				kind: 'stream', backend: 'engine-1', key: 's', at: 4050,
@@ -108,30 +108,30 @@
 	},
 	{
 		name: 'a stream that a planned stop disconnects',
-		promise: 'a planned stop cuts off nothing',
+		guarantee: 'a planned stop cuts off nothing',
 		addViolation({calls}) {
-			calls.push(call({key: 'x', told: 'cut'}));
+			calls.push(call({key: 'x', outcome: 'cut'}));
 		},
 	},
 	{
 		name: 'a daemon that reverts to an older configuration version',
-		promise: 'the configuration is in force everywhere and never goes back',
+		guarantee: 'the configuration is in force everywhere and never goes back',
 		addViolation({versions}) {
 			versions.push({daemon: 'entry-1', version: 1, at: 80});
 		},
 	},
 	{
 		name: 'a daemon that never receives the accepted configuration version',
-		promise: 'the configuration is in force everywhere and never goes back',
+		guarantee: 'the configuration is in force everywhere and never goes back',
 		addViolation({finalVersions}) {
 			finalVersions.push({daemon: 'entry-3', version: 1, at: 1000});
 		},
 	},
 	{
 		name: 'a request that crashes three engines',
-		promise: 'a crashing request ends at most two backend servers',
-		addViolation({crashedBy}) {
-			crashedBy.push({key: 'worse', backends: 3});
+		guarantee: 'a crashing request ends at most two backend servers',
+		addViolation({crashingRequests}) {
+			crashingRequests.push({key: 'worse', backends: 3});
 		},
 	},
 ];
@@ -140,12 +140,12 @@
 	assert.deepEqual(findViolations(makeValidHistory()), []);
 });
 
-for (const {name, promise, addViolation} of violationCases) {
+for (const {name, guarantee, addViolation} of violationCases) {
 	test(`the check detects ${name}`, () => {
 		const history = makeValidHistory();
 		addViolation(history);
-		const promises = findViolations(history).map(violation => violation.promise);
-		assert.ok(promises.includes(promise), promises.join(', '));
-		assert.equal(new Set(promises).size, promise === 'a planned stop cuts off nothing' ? 2 : 1);
+		const guarantees = findViolations(history).map(violation => violation.guarantee);
+		assert.ok(guarantees.includes(guarantee), guarantees.join(', '));
+		assert.equal(new Set(guarantees).size, guarantee === 'a planned stop cuts off nothing' ? 2 : 1);
 	});
 }
--- a/tests/src/operators.test.ts
+++ b/tests/src/operators.test.ts
@@ -12,7 +12,7 @@
 	makeConfigurationText,
 	operatorKey,
 } from '@shallotpass/measure/local-fleet.js';
-import {askStream, reserve} from '@shallotpass/measure/caller-client.js';
+import {streamChat, sendReservation} from '@shallotpass/measure/caller-client.js';
 import {startEngineStandIn} from '@shallotpass/stand-ins/engine-stand-in.js';
 import {startPlainServiceStandIn} from '@shallotpass/stand-ins/plain-service-stand-in.js';
 import {startLogStandIn} from '@shallotpass/stand-ins/log-stand-in.js';
@@ -136,7 +136,7 @@
 	const streamStarted = new Promise<void>(resolve => {
 		notifyStarted = resolve;
 	});
-	const pendingStream = askStream({
+	const pendingStream = streamChat({
 		address: daemon.callers, marker: 'long', tokens: 200, onToken() {
 			notifyStarted();
 		},
@@ -145,7 +145,7 @@
 	service.faults.add({
 		on: 'call', kind: 'delay', delayMs: 1500, times: 1,
 	});
-	const pendingReservation = reserve({address: daemon.callers, key: 'order-1', body: '{}'});
+	const pendingReservation = sendReservation({address: daemon.callers, key: 'order-1', body: '{}'});
 	while (service.executions.length === 0) {
 		await new Promise(resolve => { // eslint-disable-line no-await-in-loop -- polls
 			setTimeout(resolve, 5);
@@ -159,7 +159,7 @@
 	const ready = await fetch(`http://${daemon.admin}/readyz`);
 	assert.equal(ready.status, 503);
 	const [answer, reservation] = await Promise.all([pendingStream, pendingReservation]);
-	assert.equal(answer.isWhole, true);
+	assert.equal(answer.isComplete, true);
 	assert.equal(reservation.status, 200);
 	assert.equal(await daemon.exited, 0);
 });
--- a/tests/src/policies.test.ts
+++ b/tests/src/policies.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import {type Customer} from '@shallotpass/measure/policies/customer.js';
-import {type PlayReport, playPolicies} from '@shallotpass/measure/policies/play-policies.js';
-import {ours, type Policies, policySets} from '@shallotpass/measure/policies/policies.js';
+import {type SimulationReport, simulatePolicies} from '@shallotpass/measure/policies/simulate-policies.js';
+import {defaultPolicies, type Policies, policySets} from '@shallotpass/measure/policies/policies.js';
 
 /** Workload of drafts and short summaries with two waves of reclaims. One in three engines is slower. */
 const customer: Customer = {
@@ -37,16 +37,16 @@
 const seeds = [1, 2];
 
 /** Plays the policies with each seed and averages the reports. */
-const averageReports = (customerToPlay: Customer, policies: Policies): PlayReport => {
-	const reports = seeds.map(seed => playPolicies(customerToPlay, policies, seed));
-	const getMean = (metric: Exclude<keyof PlayReport, 'calls' | 'engines'>): number => reports.reduce((sum, report) => sum + report[metric], 0) / reports.length;
+const averageReports = (customerToPlay: Customer, policies: Policies): SimulationReport => {
+	const reports = seeds.map(seed => simulatePolicies(customerToPlay, policies, seed));
+	const getMean = (metric: Exclude<keyof SimulationReport, 'calls' | 'engines'>): number => reports.reduce((sum, report) => sum + report[metric], 0) / reports.length;
 	return {
 		calls: reports.reduce((sum, {calls}) => sum + calls, 0), engines: 0, onTime: getMean('onTime'), late: getMean('late'), lost: getMean('lost'), worstWindows: getMean('worstWindows'), price: getMean('price'), readPart: getMean('readPart'),
 	};
 };
 
 test('waves of reclaims delay few calls, at less than three quarters of the price of a fixed fleet', () => {
-	const report = averageReports(customer, ours);
+	const report = averageReports(customer, defaultPolicies);
 	const baseline = averageReports(customer, policySets['fixed-fleet']!);
 	assert.ok(report.onTime > 0.98, String(report.onTime));
 	assert.ok(report.worstWindows > 0.9, String(report.worstWindows));
@@ -54,7 +54,7 @@
 });
 
 test('more calls are on time and fewer tokens are recomputed than when engines are chosen at random', () => {
-	const report = averageReports(customer, ours);
+	const report = averageReports(customer, defaultPolicies);
 	const baseline = averageReports(customer, policySets['any-engine']!);
 	assert.ok(report.onTime > baseline.onTime, `${report.onTime} and ${baseline.onTime}`);
 	assert.ok(report.worstWindows > baseline.worstWindows, `${report.worstWindows} and ${baseline.worstWindows}`);
@@ -73,7 +73,7 @@
 		{customer: {...customer, engine: {...customer.engine, bootMs: 8000, reclaimablePrice: 0.5}}, least: 0.75},
 	];
 	for (const [index, {customer: variant, least: minOnTime}] of variants.entries()) {
-		const report = averageReports(variant, ours);
+		const report = averageReports(variant, defaultPolicies);
 		const baseline = averageReports(variant, policySets['any-engine']!);
 		assert.ok(report.onTime > minOnTime && report.onTime >= baseline.onTime, `case ${index}: ${report.onTime} and ${baseline.onTime}`);
 	}
@@ -101,7 +101,7 @@
 };
 
 test('not reserving capacity for two waves delays less than 1 % more calls and saves more than 15 % of the price', () => {
-	const report = averageReports(manyDaemons, ours);
+	const report = averageReports(manyDaemons, defaultPolicies);
 	const baseline = averageReports(manyDaemons, policySets['two-waves']!);
 	assert.ok(report.onTime > baseline.onTime - 0.01, `${report.onTime} and ${baseline.onTime}`);
 	assert.ok(report.price < baseline.price * 0.85, `${report.price} and ${baseline.price}`);
--- a/tests/src/refusals.test.ts
+++ b/tests/src/refusals.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import {Agent} from 'undici';
-import {reserve, askStream} from '@shallotpass/measure/caller-client.js';
-import {makeConfigurationText, startMember, waitFor} from '@shallotpass/measure/local-fleet.js';
+import {sendReservation, streamChat} from '@shallotpass/measure/caller-client.js';
+import {makeConfigurationText, startFleetDaemon, waitFor} from '@shallotpass/measure/local-fleet.js';
 import {startFleet, type Fleet, type FleetOptions} from './fleet-fixture.js';
 
 type Refusal = {readonly status: number; readonly body: Readonly<Record<string, unknown>>; readonly retryAfter: string | undefined};
@@ -17,7 +17,7 @@
 
 const rateLimitedConfiguration = makeConfigurationText().replace('classes = ["counter", "draft"]', 'classes = ["counter", "draft"]\nrequests_per_second = 1');
 
-const reserveOnce = async (fleet: Fleet, key: string): Promise<Refusal> => reserve({address: fleet.daemons[0]!.callers, key, body: '{"refused": true}'});
+const reserveOnce = async (fleet: Fleet, key: string): Promise<Refusal> => sendReservation({address: fleet.daemons[0]!.callers, key, body: '{"refused": true}'});
 
 const cases: readonly RefusalCase[] = [
 	{
@@ -26,7 +26,7 @@
 		async provoke(fleet) {
 			for (let index = 0; ; index++) {
 				// The first calls are within the limit. They have another body, so that the check can tell them apart.
-				const answer = await reserve({address: fleet.daemons[0]!.callers, key: `k${index}`, body: '{}'}); // eslint-disable-line no-await-in-loop -- until it is refused
+				const answer = await sendReservation({address: fleet.daemons[0]!.callers, key: `k${index}`, body: '{}'}); // eslint-disable-line no-await-in-loop -- until it is refused
 				if (answer.status !== 200) {
 					return reserveOnce(fleet, 'last');
 				}
@@ -51,7 +51,7 @@
 			fleet.services[0]!.faults.add({
 				on: 'call', kind: 'delay', delayMs: 600, times: 1,
 			});
-			const first = reserve({address: fleet.daemons[0]!.callers, key: 'first', body: '{}'});
+			const first = sendReservation({address: fleet.daemons[0]!.callers, key: 'first', body: '{}'});
 			await waitFor('the first call is running', () => fleet.countExecutions() === 1);
 			const refused = await reserveOnce(fleet, 'second');
 			await first;
@@ -72,11 +72,11 @@
 			// The connection of one caller uses up the limit of the daemon.
 			const dispatcher = new Agent({connections: 1, pipelining: 1});
 			const {callers} = fleet.daemons[0]!;
-			await reserve({
+			await sendReservation({
 				address: callers, key: 'first', body: '{}', dispatcher,
 			});
 			const otherDispatcher = new Agent({connections: 1, pipelining: 1});
-			const refused = await reserve({
+			const refused = await sendReservation({
 				address: callers, key: 'second', body: '{"refused": true}', dispatcher: otherDispatcher,
 			});
 			await Promise.all([dispatcher.close(), otherDispatcher.close()]);
@@ -88,8 +88,8 @@
 		async provoke(fleet) {
 			// A daemon starts without peers while the log is unavailable.
 			fleet.platform.log.faults.add({on: 'read', kind: 'refuse'});
-			const isolatedDaemon = await startMember({id: 'lonely', availabilityZone: 'zone-1', platform: fleet.platform});
-			const refused = await reserve({address: isolatedDaemon.callers, key: 'k', body: '{"refused": true}'});
+			const isolatedDaemon = await startFleetDaemon({id: 'lonely', availabilityZone: 'zone-1', platform: fleet.platform});
+			const refused = await sendReservation({address: isolatedDaemon.callers, key: 'k', body: '{"refused": true}'});
 			await isolatedDaemon.stop();
 			return refused;
 		},
@@ -100,18 +100,18 @@
 			// A connection that was opened before the drain is used during it.
 			const [daemon] = fleet.daemons;
 			const dispatcher = new Agent({connections: 1, pipelining: 1});
-			const longStream = askStream({address: daemon!.callers, marker: 'long', tokens: 800});
-			await reserve({
+			const longStream = streamChat({address: daemon!.callers, marker: 'long', tokens: 800});
+			await sendReservation({
 				address: daemon!.callers, key: 'before', body: '{}', dispatcher,
 			});
 			const draining = daemon!.drain();
 			await new Promise(resolve => {
 				setTimeout(resolve, 1200);
 			});
-			const refused = await reserve({
+			const refused = await sendReservation({
 				address: daemon!.callers, key: 'k', body: '{"refused": true}', dispatcher,
 			});
-			assert.equal((await longStream).isWhole, true); // eslint-disable-line unicorn/no-await-expression-member -- one look
+			assert.equal((await longStream).isComplete, true); // eslint-disable-line unicorn/no-await-expression-member -- one look
 			await Promise.all([draining, dispatcher.close()]);
 			return refused;
 		},
@@ -138,10 +138,10 @@
 	});
 	const order: string[] = [];
 	const askWithClass = async (marker: string, requestClass: string): Promise<void> => {
-		const answer = await askStream({
+		const answer = await streamChat({
 			address: fleet.daemons[0]!.callers, marker, tokens: 20, headers: {'x-request-class': requestClass},
 		});
-		assert.equal(answer.isWhole, true);
+		assert.equal(answer.isComplete, true);
 		order.push(requestClass);
 	};
 
@@ -157,15 +157,15 @@
 	// A request waits behind another one when the only engine is reclaimed. Waiting until its deadline
 	// would be useless, so the caller is told at once that no engine is left.
 	const fleet = await startFleet(t, {daemons: 1, engines: [{parameters: {stepMs: 20}}], limits: {maxRunningPerBackend: 1}});
-	const running = askStream({address: fleet.daemons[0]!.callers, marker: 'first', tokens: 150});
+	const running = streamChat({address: fleet.daemons[0]!.callers, marker: 'first', tokens: 150});
 	await waitFor('the first request is running', () => fleet.engines[0]!.countRunning() === 1);
-	const waiting = askStream({address: fleet.daemons[0]!.callers, marker: 'second', tokens: 5});
+	const waiting = streamChat({address: fleet.daemons[0]!.callers, marker: 'second', tokens: 5});
 	await waitFor('the second request is waiting', async () => {
 		const text = await fleet.daemons[0]!.environment.metrics.registry.getSingleMetricAsString('shallotpass_waiting_requests');
 		return text.trimEnd().endsWith(' 1');
 	});
-	fleet.platform.cloud.giveNotice('engine-0', Date.now() + 60_000);
+	fleet.platform.cloud.announceReclaim('engine-0', Date.now() + 60_000);
 	const refused = await waiting;
 	assert.deepEqual([refused.problem?.kind, refused.problem?.executed], ['no_backend', 'no']);
-	assert.equal((await running).isWhole, true); // eslint-disable-line unicorn/no-await-expression-member -- one look
+	assert.equal((await running).isComplete, true); // eslint-disable-line unicorn/no-await-expression-member -- one look
 });
--- a/tests/src/routing-runs.test.ts
+++ b/tests/src/routing-runs.test.ts
@@ -7,7 +7,7 @@
 import {deploymentSchema, type Deployment} from '@shallotpass/measure/routing/deployment.js';
 import {findPolicy} from '@shallotpass/measure/routing/policy-table.js';
 import {runDeployment, type RunPlan} from '@shallotpass/measure/routing/run-deployment.js';
-import {computeJain, divideFairly, summarizeRun} from '@shallotpass/measure/routing/summarize-run.js';
+import {computeJainIndex, allocateMaxMinFair, summarizeRun} from '@shallotpass/measure/routing/summarize-run.js';
 
 const readDeployment = (name: string): Deployment => {
 	const file = fileURLToPath(new URL(`../../scripts/measure/experiments/deployments/${name}.toml`, import.meta.url));
@@ -47,10 +47,10 @@
 	const arrival = {
 		kind: 'chat', id: 'chat-1', at: 5000, account: 'bizerte', class: 'question', promptTokens: 10, chain: [], answerTokens: 5,
 	} as const;
-	const summarize = (refusedAs: 'over_capacity' | 'backend_failed', hasSeen: boolean) => summarizeRun({
+	const summarize = (errorKind: 'over_capacity' | 'backend_failed', hasSeen: boolean) => summarizeRun({
 		plan: makePlan({}),
 		results: [{
-			arrival, firstTokenAt: undefined, endedAt: 5100, tokens: 0, attempts: 1, refusedAs,
+			arrival, firstTokenAt: undefined, endedAt: 5100, tokens: 0, attempts: 1, errorKind,
 		}],
 		plainMs: [],
 		plainRefused: 0,
@@ -65,10 +65,10 @@
 });
 
 test('a fair allocation does not exceed any demand and divides the rest by shares', () => {
-	const allocations = divideFairly([
+	const allocations = allocateMaxMinFair([
 		{account: 'large', share: 2, asked: 100}, {account: 'small', share: 1, asked: 5}, {account: 'other', share: 1, asked: 100},
 	], 65);
 	assert.deepEqual([...allocations], [['small', 5], ['large', 40], ['other', 20]]);
-	assert.equal(computeJain([1, 1, 1]), 1);
-	assert.equal(computeJain([1, 0, 0, 0]), 0.25);
+	assert.equal(computeJainIndex([1, 1, 1]), 1);
+	assert.equal(computeJainIndex([1, 0, 0, 0]), 0.25);
 });
--- a/tests/src/traces.test.ts
+++ b/tests/src/traces.test.ts
@@ -1,9 +1,9 @@
 /** Tests the spans of one request across all processes. */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {reserve} from '@shallotpass/measure/caller-client.js';
+import {sendReservation} from '@shallotpass/measure/caller-client.js';
 import {
-	applyThrough, makeConfigurationText, startMember, startPlatform, waitFor,
+	applyConfiguration, makeConfigurationText, startFleetDaemon, startPlatform, waitFor,
 } from '@shallotpass/measure/local-fleet.js';
 import {readJson, sendJson, startStandIn} from '@shallotpass/stand-ins/http-stand-in.js';
 import {startPlainServiceStandIn} from '@shallotpass/stand-ins/plain-service-stand-in.js';
@@ -29,10 +29,10 @@
 		id: 'reservations-0', address: service.address, role: 'backend', state: 'live', availabilityZone: 'zone-1', services: ['reservations'],
 	});
 	const tracing = {otlp: `http://${collector.address}/v1/traces`, sampleRatio: 1};
-	const first = await startMember({
+	const first = await startFleetDaemon({
 		id: 'entry-0', availabilityZone: 'zone-1', platform, tracing,
 	});
-	const second = await startMember({
+	const second = await startFleetDaemon({
 		id: 'entry-1', availabilityZone: 'zone-1', platform, tracing, seeds: [first.peers],
 	});
 	t.after(async () => {
@@ -40,7 +40,7 @@
 		await Promise.all([collector.close(), service.close(), platform.close()]);
 	});
 	await waitFor('the daemons know each other', () => [first, second].every(daemon => daemon.listMembers().length === 2));
-	await applyThrough(first, makeConfigurationText());
+	await applyConfiguration(first, makeConfigurationText());
 	await waitFor('the backend server is known', async () => {
 		const text = await first.environment.metrics.registry.getSingleMetricAsString('shallotpass_backends');
 		return first.getVersion('default') >= 0 && text.includes('state="live"} 1');
@@ -48,7 +48,7 @@
 	// With 16 keys, some belong to log streams that the other daemon writes.
 	for (let index = 0; index < 16; index++) {
 		// eslint-disable-next-line no-await-in-loop -- one after the other
-		const result = await reserve({
+		const result = await sendReservation({
 			address: first.callers, key: `issue-${index}`, body: '{"issue":1}', headers: {traceparent: `00-${callerTrace}-b7ad6b7169203331-01`},
 		});
 		assert.equal(result.status, 200);
