--- a/packages/core/src/calls/index-configuration.ts
+++ b/packages/core/src/calls/index-configuration.ts
@@ -5,14 +5,14 @@
 
 export type IndexedConfiguration = {
 	readonly configuration: ServingConfiguration;
-	/** Routes by lowercase host, longest path prefix first. */
+	/** Routes by lowercase host. The routes of a host are sorted by path prefix, longest first. */
 	readonly routesByHost: ReadonlyMap<string, readonly Route[]>;
 	readonly servicesByName: ReadonlyMap<string, Service>;
 	readonly accountsByKey: ReadonlyMap<string, Account>;
 	readonly accountsByName: ReadonlyMap<string, Account>;
 };
 
-const groupRoutes = (routes: readonly Route[]): Map<string, Route[]> => {
+const groupRoutesByHost = (routes: readonly Route[]): Map<string, Route[]> => {
 	const byHost = new Map<string, Route[]>();
 	for (const route of routes) {
 		const host = route.host.toLowerCase();
@@ -30,19 +30,22 @@
 
 export const indexConfiguration = (configuration: ServingConfiguration): IndexedConfiguration => ({
 	configuration,
-	routesByHost: groupRoutes(configuration.routes),
+	routesByHost: groupRoutesByHost(configuration.routes),
 	servicesByName: new Map(configuration.services.map(service => [service.name, service])),
 	accountsByKey: new Map(configuration.accounts.flatMap(account => account.keys.map(key => [key, account] as const))),
 	accountsByName: new Map(configuration.accounts.map(account => [account.name, account])),
 });
 
-/** Returns the route with the longest path prefix that matches the path. `host` may include a port. */
+/** Returns the host's route with the longest path prefix that matches, or undefined if none does. A port in `host` is ignored. */
 export const findRoute = (index: IndexedConfiguration, host: string, path: string): Route | undefined => {
 	const hostname = host.toLowerCase().replace(/:\d+$/v, '');
 	return index.routesByHost.get(hostname)?.find(route => path.startsWith(route.pathPrefix));
 };
 
-/** Picks a service of a route in proportion to the weights. `fraction` is a number from 0 to 1 that stays the same for a call. */
+/**
+ * Picks a service of a route in proportion to the weights, or returns undefined if the route has none. `fraction` is a
+ * number in [0, 1) that stays the same for a call, so that a call that is sent again gets the same service.
+ */
 export const pickService = (route: Route, fraction: number): string | undefined => {
 	const total = route.services.reduce((sum, weightedService) => sum + Math.max(0, weightedService.weight), 0);
 	let remaining = fraction * total;
@@ -53,5 +56,6 @@
 		}
 	}
 
+	// Reached if all weights are 0, or because of a rounding error.
 	return route.services.at(-1)?.service;
 };
--- a/packages/core/src/calls/serving-configuration.ts
+++ b/packages/core/src/calls/serving-configuration.ts
@@ -13,18 +13,21 @@
 	readonly repeatability: Repeatability;
 	/** Maximum time that a caller waits for its answer, in milliseconds. */
 	readonly limitMs: number;
-	/** Target time for an answer, in milliseconds; later answers no longer count in full. */
+	/** Target time for an answer, in milliseconds. A later answer is still delivered but does not count in full. */
 	readonly targetMs: number;
+	/** Priority of the calls; 0 is the most urgent. */
 	readonly rank: number;
-	/** Maximum number of attempts that may run a call. */
+	/** Maximum number of attempts that may have executed a call. Attempts that certainly did not execute it are not counted. */
 	readonly attempts: number;
 	readonly allowsAnonymous: boolean;
 	readonly services: readonly WeightedService[];
 };
 
-/** Number of backend servers of a service that may be ordered, per availability zone, with their boot time and prices. */
+/** Limits for ordering backend servers of a service, with their boot time and prices. */
 export type FleetBounds = {
+	/** Minimum number of backend servers per availability zone. */
 	readonly least: number;
+	/** Maximum number of backend servers per availability zone. */
 	readonly most: number;
 	readonly bootMs: number;
 	/** Price of a reclaimable backend server as a fraction of the full price; undefined if none are offered. */
@@ -52,10 +55,11 @@
 export type AccountLimit = {
 	/** Cost units per second; 0 or less means no limit. */
 	readonly perSecond: number;
-	/** Cost units that may be spent at once in addition. */
+	/** Cost units that may be spent at once, in addition to `perSecond`. */
 	readonly burst: number;
-	/** Cost of a call that does not state its tokens. */
+	/** Cost of a call that does not state its tokens, if `countsTokens` is true. */
 	readonly plainCost: number;
+	/** Whether a call costs its number of tokens; otherwise each call costs 1. */
 	readonly countsTokens: boolean;
 };
 
@@ -66,10 +70,13 @@
 	readonly limit: AccountLimit | undefined;
 };
 
+/** Limits for the connections and requests of callers. */
 export type CallerLimits = {
 	readonly headerBytes: number;
 	readonly bodyBytes: number;
+	/** Maximum time in which a caller sends the headers of a request. */
 	readonly headersWithinMs: number;
+	/** Time for which an idle connection stays open. */
 	readonly idleMs: number;
 };
 
--- a/packages/core/src/configuration/exchange-offers.ts
+++ b/packages/core/src/configuration/exchange-offers.ts
@@ -1,4 +1,4 @@
-/** Exchange of configurations between daemons, so that a daemon that can't reach the log still gets new versions. */
+/** Exchange of accepted configuration versions between daemons, so that a daemon that can't reach the log still gets new versions. */
 import {getAcceptedVersion, settleTeam} from './configuration-state.js';
 import {type ConfigurationOffer, type ConfigurationState} from './types.js';
 
@@ -19,8 +19,9 @@
 	Object.entries(digest).some(([team, version]) => version > getAcceptedVersion(state, team));
 
 /**
- * Adopts the versions of an offer that are newer than the known ones, never older ones. If this daemon has a gap and
- * the peer has read the log past the trim, the offer settles all teams and closes the gap.
+ * Adopts the versions of an offer that are newer than the known ones, never older ones. While this daemon has a gap, it
+ * cannot evaluate records that may be based on trimmed ones. If the peer has no gap and has read the log at least up to
+ * the end of the trimmed part, its offer settles all teams and closes the gap.
  */
 export const applyOffer = (state: ConfigurationState, offer: ConfigurationOffer, now: number): ConfigurationState => {
 	let next = state;
@@ -39,7 +40,7 @@
 		return next;
 	}
 
-	for (const team of new Set([...next.accepted.keys(), ...gap.pending.map(item => item.team)])) {
+	for (const team of new Set([...next.accepted.keys(), ...gap.pending.map(pendingRecord => pendingRecord.team)])) {
 		next = settleTeam({
 			state: next, gap: next.gap!, team, from: offer.foldedTo,
 		});
@@ -49,19 +50,19 @@
 };
 
 /**
- * Initializes a daemon that has not read the log from a peer's offer, so that it continues reading where the peer
- * stopped instead of at the start of the log. Newer versions that it has received from other peers are kept.
+ * Initializes the state from a peer's offer if this daemon has not read any of the log, so that it continues reading
+ * where the peer stopped instead of at the start. Newer versions that it has received from other peers are kept.
  */
 export const initializeFromOffer = (state: ConfigurationState, offer: ConfigurationOffer, now: number): ConfigurationState => {
 	if (state.foldedTo !== 0 || !offer.isComplete) {
 		return applyOffer(state, offer, now);
 	}
 
-	const started: ConfigurationState = {
+	const initialized: ConfigurationState = {
 		foldedTo: offer.foldedTo,
 		accepted: new Map(offer.accepted.map(accepted => [accepted.team, accepted])),
 		history: offer.history,
 		lastWrittenAt: new Map(offer.accepted.map(accepted => [accepted.team, now])),
 	};
-	return applyOffer(started, makeOffer(state), now);
+	return applyOffer(initialized, makeOffer(state), now);
 };
--- a/packages/core/src/directory/digest-directory.ts
+++ b/packages/core/src/directory/digest-directory.ts
@@ -1,8 +1,8 @@
-/** Digest with which two daemons find out whether they know the same backend servers without sending the list. */
+/** Digest of the directory. Two daemons compare it to find out, without sending the list, whether they know the same backend servers. */
 import {hashText64} from '../routing/rank-by-rendezvous.js';
 import {type BackendEntry, type Directory} from './types.js';
 
-/** Serializes the fields that calls and orders depend on. The other fields change each second, when an entry is rewritten as a heartbeat. */
+/** Serializes the fields that calls and orders depend on. The others are left out: an entry is rewritten each second as a heartbeat, which changes only them. */
 const serializeEntry = (entry: BackendEntry): string => [
 	entry.id, entry.startedAt, entry.address, entry.service, entry.availabilityZone, entry.places, entry.isLeaving, entry.isReclaimable,
 ].join(' ');
--- a/packages/core/src/fleet/smooth-demand.ts
+++ b/packages/core/src/fleet/smooth-demand.ts
@@ -1,10 +1,14 @@
-/** Smooths the demand that the fleet is sized for. The smoothed demand follows a rise at once and a fall slowly. It is forecast over the time that an instance takes to start. */
+/**
+ * Smooths the demand that the fleet is sized for. The smoothed demand follows a rise at once and a fall slowly. A rise
+ * is extrapolated over the time that an instance takes to start.
+ */
 
 export type SmoothedDemand = {
 	/** Smoothed demand in slots. */
 	readonly level: number;
 	/** Smoothed rate of change, in slots per millisecond. */
 	readonly slope: number;
+	/** Time of the last update, in milliseconds. */
 	readonly at: number;
 };
 
@@ -24,9 +28,9 @@
 	const elapsedMs = now - previous.at;
 	const decayed = previous.level + ((neededSlots - previous.level) * (1 - Math.exp(-elapsedMs / options.fallMs)));
 	const level = Math.max(neededSlots, decayed);
-	const weight = 1 - Math.exp(-elapsedMs / options.slopeMs);
-	return {level, slope: previous.slope + ((((level - previous.level) / elapsedMs) - previous.slope) * weight), at: now};
+	const slopeWeight = 1 - Math.exp(-elapsedMs / options.slopeMs);
+	return {level, slope: previous.slope + ((((level - previous.level) / elapsedMs) - previous.slope) * slopeWeight), at: now};
 };
 
-/** Returns the number of slots that will be needed when an instance that is ordered now is ready. */
-export const forecastDemand = ({level, slope}: SmoothedDemand, startMs: number): number => level + Math.max(0, slope * startMs);
+/** Forecasts the slots that will be needed when an instance that is ordered now is ready, after `startupMs`. A fall is not extrapolated. */
+export const forecastDemand = ({level, slope}: SmoothedDemand, startupMs: number): number => level + Math.max(0, slope * startupMs);
--- a/packages/core/src/placement/choose-backend.ts
+++ b/packages/core/src/placement/choose-backend.ts
@@ -8,6 +8,7 @@
 
 /** Properties of a call that determine the choice of its backend server. */
 export type PlacementRequest = {
+	/** 0 is the most urgent. */
 	readonly rank: number;
 	readonly promptTokens: number;
 	readonly isStream: boolean;
@@ -16,8 +17,8 @@
 };
 
 /**
- * Weight of queued prompt tokens with a lower priority than this call. The call overtakes them,
- * but they share the engine's steps with it, and one of their chunks may be in progress.
+ * Weight of the queued prompt tokens of calls with a lower priority. The call overtakes them, but
+ * they share the engine's steps with it, and one of their chunks may be in progress.
  */
 const lowerPriorityWeight = 0.25;
 
@@ -31,22 +32,23 @@
  * Additional wait that is accepted to keep a pinned stream off a backend server that may be
  * reclaimed at 2 s notice, because the stream cannot continue on another one.
  */
-const reclaimablePenaltyMs = 60;
+const pinnedOnReclaimablePenaltyMs = 60;
 
 /**
  * Additional wait that is accepted to keep a call in its own zone. When a network partition cuts
- * off the zone, its calls in other zones are lost or late, and they cannot detect this by waiting.
+ * off the zone, its calls to other zones are lost or late, and waiting does not show which.
  */
 const otherZonePenaltyMs = 25;
 
 /**
- * An unresponsive backend server may keep its connections open without answering, so silence is
- * the only sign before its calls time out. A long prefill explains silence up to
+ * An unresponsive backend server may keep its connections open without answering. Its calls time
+ * out late, and until then silence is the only sign. A long prefill explains silence up to
  * `maxNormalSilenceMs`; each millisecond beyond it counts as `silenceWeight` milliseconds of wait.
  */
 const maxNormalSilenceMs = 200;
 const silenceWeight = 2;
 
+/** Counts the queued prompt tokens, indexed by rank, that delay a call of the given rank. Tokens of less urgent calls count in part. */
 const countQueuedTokens = (pendingTokens: readonly number[], rank: number): number => {
 	let tokens = 0;
 	for (const [pendingRank, pending] of pendingTokens.entries()) {
@@ -77,8 +79,9 @@
 
 export const predictWait = (view: BackendView, call: PlacementRequest): number => call.isStream ? predictFirstEvent(view, call) : predictPlainAnswer(view);
 
+/** Computes the cost of sending the call to the backend server: the predicted wait plus penalties, in milliseconds. */
 export const computeCost = (view: BackendView, call: PlacementRequest): number => {
-	const reclaimPenaltyMs = call.isPinned && call.isStream && view.isReclaimable ? reclaimablePenaltyMs : 0;
+	const reclaimPenaltyMs = call.isPinned && call.isStream && view.isReclaimable ? pinnedOnReclaimablePenaltyMs : 0;
 	const silencePenaltyMs = Math.max(0, view.silentMs - maxNormalSilenceMs) * silenceWeight;
 	const zonePenaltyMs = view.isInOtherZone ? otherZonePenaltyMs : 0;
 	return predictWait(view, call) + (view.failureRate * failurePenaltyMs) + reclaimPenaltyMs + zonePenaltyMs + silencePenaltyMs + view.spreadPenaltyMs;
--- a/packages/core/src/routing/known-prefixes.ts
+++ b/packages/core/src/routing/known-prefixes.ts
@@ -1,10 +1,14 @@
-/** Estimated contents of each engine's prefix cache. The number of blocks is bounded; the least recently recorded are removed first. */
+/**
+ * Estimated contents of the prefix cache of each backend server's engine. A block is identified by its hash in the
+ * hash chain of a prompt. The number of blocks is bounded; the least recently recorded are removed first.
+ */
 
 export type KnownPrefixes = {
+	/** Recorded blocks by backend server id, the least recently recorded first. The map serves as an ordered set. */
 	readonly byBackend: Map<string, Map<bigint, true>>;
 	/** Reverse index: the ids of the backend servers that hold a block. */
 	readonly holders: Map<bigint, Set<string>>;
-	/** Maximum number of recorded blocks per engine. */
+	/** Maximum number of recorded blocks per backend server. */
 	readonly maxBlocks: number;
 };
 
@@ -28,7 +32,7 @@
 	}
 };
 
-/** Records blocks that the engine has prefilled or reported as cached. */
+/** Records the blocks of a chain, which the backend server's engine has prefilled or reported as cached. */
 export const recordPrefix = (known: KnownPrefixes, backendId: string, chain: readonly bigint[]): void => {
 	let blocks = known.byBackend.get(backendId);
 	if (blocks === undefined) {
@@ -37,6 +41,7 @@
 	}
 
 	for (const hash of chain) {
+		// Moves a known block to the end, as the most recently recorded one.
 		blocks.delete(hash);
 		blocks.set(hash, true);
 		addHolder(known, hash, backendId);
@@ -52,7 +57,7 @@
 	}
 };
 
-/** Removes blocks that the engine reported as evicted. */
+/** Removes blocks that the backend server's engine reported as evicted. */
 export const removeBlocks = (known: KnownPrefixes, backendId: string, hashes: readonly bigint[]): void => {
 	const blocks = known.byBackend.get(backendId);
 	for (const hash of hashes) {
@@ -69,6 +74,7 @@
 	known.byBackend.delete(backendId);
 };
 
+/** Counts the blocks at the start of the chain that are recorded, up to the first that is not. */
 export const countCachedBlocks = (known: KnownPrefixes, backendId: string, chain: readonly bigint[]): number => {
 	const blocks = known.byBackend.get(backendId);
 	if (blocks === undefined) {
@@ -83,5 +89,5 @@
 	return count;
 };
 
-/** Returns the engines that are known to hold the block. */
+/** Returns the ids of the backend servers that are known to hold the block, or undefined if there are none. */
 export const listHolders = (known: KnownPrefixes, hash: bigint): ReadonlySet<string> | undefined => known.holders.get(hash);
