--- a/apps/daemon/src/watch-settings.test.ts
+++ b/apps/daemon/src/watch-settings.test.ts
@@ -7,7 +7,7 @@
 import * as z from 'zod';
 import {watchSettings} from './watch-settings.js';
 
-test('an invalid change to the settings file is reported with its place and keeps the previous settings in force', t => {
+test('an invalid change to the settings file is reported with the invalid key, and the previous settings stay in force', t => {
 	// A daemon that applied an invalid file, or exited because of it, would abort all its calls.
 	const folder = mkdtempSync(path.join(os.tmpdir(), 'shallotpass-'));
 	t.after(() => {
--- a/packages/backends/src/http-fields.ts
+++ b/packages/backends/src/http-fields.ts
@@ -31,6 +31,7 @@
 	});
 };
 
+/** The backend server's request id is not forwarded, because the caller already gets the one that this daemon set. */
 export const filterResponseFields = (fields: readonly HttpField[]): HttpField[] => {
 	const connectionNames = listConnectionNames(fields);
 	return fields.filter(({name}) => {
--- a/packages/callers/src/chat-context.ts
+++ b/packages/callers/src/chat-context.ts
@@ -13,11 +13,13 @@
 	readonly call: CallerCall;
 	readonly services: CallerServices;
 	readonly budgets: RetryBudgets;
+	/** Key of the retry budget, which is shared by the requests of one client account to one service. */
 	readonly budgetName: string;
 	readonly chat: ChatRequest;
 	readonly service: Service;
 	readonly serviceId: string;
 	readonly callClass: CallClass;
+	/** Hash of the model and the prompt. It identifies requests that crash engines. */
 	readonly fingerprint: string;
 	readonly promptTokens: number;
 	/** Chained hashes of the prompt's blocks, used to find engines that have a prefix cached. */
@@ -29,11 +31,15 @@
 
 /** Progress across the attempts so far. */
 export type ChatProgress = {
+	/** Position in the stream up to which the caller has received the response. */
 	position: StreamPosition;
+	/** Ids of the engines that are not chosen again unless no other engine is available. */
 	readonly excluded: Set<string>;
+	/** Attempts so far, without those that failed before anything was sent. */
 	attempts: number;
 	/** Attempts that failed before anything was sent. */
 	unsentAttempts: number;
+	/** Time of the first token in the latest attempt. */
 	firstTokenAt: number | undefined;
 };
 
--- a/packages/callers/src/relay-response.ts
+++ b/packages/callers/src/relay-response.ts
@@ -9,7 +9,7 @@
 import {getLatencyTarget} from './caller-call.js';
 import {type ChatContext, type ChatProgress} from './chat-context.js';
 
-/** Waits until the response can be written again. Ends early if the caller disconnects or the attempt is aborted. */
+/** Waits until the response can be written to again. Ends early if the caller disconnects or the attempt is aborted. */
 const waitForDrain = async (context: ChatContext, signal: AbortSignal): Promise<void> => new Promise(resolve => {
 	const {response} = context.call;
 	const done = (): void => {
@@ -24,6 +24,7 @@
 	signal.addEventListener('abort', done, {once: true});
 });
 
+/** Writes the batch to the caller, after the headers if it is the first one. Returns false if the caller reads too slowly. */
 const writeBatch = (context: ChatContext, batch: StreamBatch): boolean => {
 	const {response, requestId} = context.call;
 	if (!response.headersSent) {
@@ -77,6 +78,7 @@
 	readonly attemptSignal: AttemptSignal;
 	readonly traceparent: string | undefined;
 	readonly uncachedTokens: number;
+	/** Called for each batch that contains tokens. */
 	readonly onTokens: () => void;
 };
 
@@ -120,7 +122,7 @@
 	context.call.response.end();
 };
 
-export const relayWhole = async (context: ChatContext, progress: ChatProgress, {engine, attemptSignal, traceparent}: Attempt): Promise<void> => {
+export const relayCompletion = async (context: ChatContext, progress: ChatProgress, {engine, attemptSignal, traceparent}: Attempt): Promise<void> => {
 	const {environment, connections} = context.services;
 	const startedAt = environment.clock.now();
 	const text = await fetchCompletion({
@@ -132,6 +134,7 @@
 		signal: attemptSignal.signal,
 	}, connections);
 	progress.firstTokenAt = environment.clock.now();
+	// A complete response does not show when its first token was generated, so the current estimate is passed on unchanged.
 	context.services.registry.recordSpeedSample(engine.id, {
 		firstTokenMs: engine.speed.firstTokenMs,
 		tokenMs: (environment.clock.now() - startedAt) / getExpectedTokens(context.chat),
--- a/packages/callers/src/run-engine-attempt.ts
+++ b/packages/callers/src/run-engine-attempt.ts
@@ -9,12 +9,12 @@
 import {makeAttemptSignal, type AttemptSignal} from './attempt-signal.js';
 import {getLatencyTarget} from './caller-call.js';
 import {type ChatContext, type ChatProgress} from './chat-context.js';
-import {relayStream, relayWhole} from './relay-response.js';
+import {relayCompletion, relayStream} from './relay-response.js';
 
 /** Multiplies the quiet timeout until the first token arrives, because the engine may be prefilling a long prompt. */
 const promptQuietFactor = 3;
 
-/** Whether a silent stream counts as failed. */
+/** Whether a silent stream counts as failed. If the engine does not respond on a new connection either, it gets no new calls for a short time. */
 const isQuietFailure = async (context: ChatContext, engine: BackendView, progress: ChatProgress, startedAt: number): Promise<boolean> => {
 	const {environment} = context.services;
 	const {quietStreamMs} = environment.settings.limits;
@@ -50,6 +50,7 @@
 		}
 	}
 
+	// 404 and 429 depend on the engine's models and load, so another engine may accept the request.
 	if (error instanceof EngineRefusal && error.status >= 400 && error.status < 500 && error.status !== 429 && error.status !== 404) {
 		return new ServingError(`the engine refused the request: ${error.text}`, {kind: 'invalid_request', executed: 'no'});
 	}
@@ -79,7 +80,7 @@
 	}
 };
 
-/** Whether the engine may still be generating because this daemon ended the attempt. It is not if the engine's stream broke. */
+/** Whether the engine may still be generating, because this daemon ended the attempt or rejected the response. It is not if the engine's stream broke. */
 const isStillRunning = (error: unknown, attemptSignal: AttemptSignal): boolean =>
 	attemptSignal.getEndReason() !== undefined || error instanceof ServingError;
 
@@ -121,7 +122,7 @@
 				onTokens();
 			},
 		};
-		await (isStream ? relayStream(context, progress, attempt) : relayWhole(context, progress, attempt));
+		await (isStream ? relayStream(context, progress, attempt) : relayCompletion(context, progress, attempt));
 	} catch (error) {
 		failure = error;
 		call.execution.mayHaveRun ||= mayHaveRun(error);
--- a/packages/common/src/cloud-service.ts
+++ b/packages/common/src/cloud-service.ts
@@ -17,6 +17,7 @@
 
 export type StartReply =
 	| 'started'
+	/** The cloud has no capacity for such an instance at the moment. */
 	| 'refused'
 	/** The instance of this token was started earlier and has already ended. */
 	| 'ended';
--- a/packages/peers/src/peer-link.test.ts
+++ b/packages/peers/src/peer-link.test.ts
@@ -77,8 +77,8 @@
 	readonly address: string;
 	/** Transforms the chunks that the client sends. */
 	transform: (chunk: Uint8Array) => readonly Uint8Array[];
-	/** Whether chunks on the first connection are dropped. */
-	isSilent: boolean;
+	/** Whether the chunks that the client sends on the first connection are dropped. */
+	dropsFirstConnection: boolean;
 	readonly connections: Socket[];
 };
 
@@ -92,7 +92,7 @@
 		proxy.connections.push(clientSocket);
 		const connectionNumber = proxy.connections.length;
 		clientSocket.on('data', chunk => {
-			if (proxy.isSilent && connectionNumber === 1) {
+			if (proxy.dropsFirstConnection && connectionNumber === 1) {
 				return;
 			}
 
@@ -113,7 +113,7 @@
 	});
 	const {port} = server.address() as {port: number};
 	const proxy: TamperingProxy = {
-		address: `127.0.0.1:${port}`, transform: chunk => [chunk], isSilent: false, connections: [],
+		address: `127.0.0.1:${port}`, transform: chunk => [chunk], dropsFirstConnection: false, connections: [],
 	};
 	t.after(() => {
 		for (const socket of sockets) {
@@ -125,14 +125,14 @@
 	return proxy;
 };
 
-type TamperCase = {readonly name: string; readonly change: (chunk: Uint8Array) => readonly Uint8Array[]};
+type TamperCase = {readonly name: string; readonly transform: (chunk: Uint8Array) => readonly Uint8Array[]};
 
 const tamperCases: readonly TamperCase[] = [
-	{name: 'altered', change: chunk => [new TextEncoder().encode(new TextDecoder().decode(chunk).replace('status', 'Status'))]},
-	{name: 'repeated', change: chunk => [chunk, chunk]},
+	{name: 'altered', transform: chunk => [new TextEncoder().encode(new TextDecoder().decode(chunk).replace('status', 'Status'))]},
+	{name: 'repeated', transform: chunk => [chunk, chunk]},
 ];
 
-for (const {name, change} of tamperCases) {
+for (const {name, transform} of tamperCases) {
 	test(`a message that is ${name} in transit is refused and its connection is closed`, async t => {
 		// An attacker on the network alters or replays messages between daemons. Without this check,
 		// a daemon would act on a repeated claim or an altered version.
@@ -141,7 +141,7 @@
 		const client = startClient(t, [keyA]);
 		await client.call(proxy.address, 'status', {}, makeDeadline());
 		assert.equal(server.countRefusals(), 0);
-		proxy.transform = change;
+		proxy.transform = transform;
 		const closed = new Promise(resolve => {
 			proxy.connections[0]!.once('close', resolve);
 		});
@@ -158,13 +158,13 @@
 	const proxy = await startTamperingProxy(t, server.address);
 	const client = startClient(t, [keyA]);
 	await client.call(proxy.address, 'status', {}, makeDeadline());
-	proxy.isSilent = true;
+	proxy.dropsFirstConnection = true;
 	const answer = await client.call(proxy.address, 'status', {}, makeDeadline());
 	assert.equal(answer.versions.default, 3);
 	assert.equal(proxy.connections.length, 2);
 });
 
-test('a replayed connection is refused', async t => {
+test('a recorded connection that is replayed to the server is refused', async t => {
 	const server = await startServer(t, [keyA]);
 	const proxy = await startTamperingProxy(t, server.address);
 	const recorded: Uint8Array[] = [];
@@ -189,7 +189,7 @@
 	assert.equal(server.countRefusals(), 1);
 });
 
-test('lines are reassembled from chunks of any size', () => {
+test('lines are reassembled from chunks of any size, and a line that exceeds the maximum length throws', () => {
 	const lines = fc.array(fc.string({unit: 'grapheme', maxLength: 30}).filter(line => !line.includes('\n')), {maxLength: 10});
 	fc.assert(fc.property(lines, fc.array(fc.nat(200), {maxLength: 10}), (sent, cuts) => {
 		const bytes = new TextEncoder().encode(sent.map(line => `${line}\n`).join(''));
--- a/packages/peers/src/peer-methods.ts
+++ b/packages/peers/src/peer-methods.ts
@@ -14,6 +14,7 @@
 	at: z.number(),
 });
 
+/** Result of one configuration record, as `HistoryEntry` in the core package. */
 const historyEntrySchema = z.object({
 	id: z.string(),
 	team: z.string(),
@@ -25,6 +26,7 @@
 	current: z.int(),
 });
 
+/** A request that may crash backend servers, as `Suspect` in the core package. */
 export const suspectSchema = z.object({
 	fingerprint: z.string(),
 	deaths: z.array(z.string()),
@@ -33,7 +35,8 @@
 	forgetAt: z.number(),
 });
 
-export const verdictSchema = z.discriminatedUnion('kind', [
+/** Decision on a claim. If it is `answered`, the recorded response is included. `unavailable` means that no decision could be made. */
+export const claimResultSchema = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('won'), fencing: z.number()}),
 	z.object({kind: z.literal('reused')}),
 	z.object({kind: z.literal('answered'), answer: recordedResponseSchema}),
@@ -44,9 +47,10 @@
 	z.object({kind: z.literal('unavailable'), detail: z.string()}),
 ]);
 
-export type ClaimResult = z.output<typeof verdictSchema>;
+export type ClaimResult = z.output<typeof claimResultSchema>;
 
 export const peerMethods = {
+	/** Checks that the peer is alive and exchanges member updates and configuration versions. */
 	probe: {
 		parameters: z.object({updates: z.array(memberUpdateSchema), versions: versionsSchema, wantsIntroduction: z.boolean()}),
 		result: z.object({
@@ -58,10 +62,12 @@
 			view: z.number(),
 		}),
 	},
+	/** Asks the peer to probe another member, which the sender could not reach. */
 	probeFor: {
 		parameters: z.object({id: z.string()}),
 		result: z.object({isAlive: z.boolean()}),
 	},
+	/** Requests the peer's accepted configurations, so that new versions also reach a daemon that cannot read the log. */
 	offer: {
 		parameters: z.object({}),
 		result: z.object({
@@ -75,11 +81,12 @@
 	claim: {
 		parameters: z.object({
 			claim: claimSchema,
+			/** Whether to make the claim. If false, the peer only looks up the state of an earlier claim. */
 			isNew: z.boolean(),
 			/** Trace context of the sender, so that the peer's spans belong to the same trace. */
 			traceparent: z.string().optional(),
 		}),
-		result: verdictSchema,
+		result: claimResultSchema,
 	},
 	recordOutcome: {
 		parameters: z.object({keyName: z.string(), outcome: outcomeSchema}),
@@ -90,6 +97,7 @@
 		parameters: z.object({backendId: z.string(), leavesAt: z.number()}),
 		result: z.object({}),
 	},
+	/** Announces suspects, and the fingerprints of requests that are no longer suspects. */
 	suspects: {
 		parameters: z.object({suspects: z.array(suspectSchema), lifted: z.array(z.string()).default([])}),
 		result: z.object({}),
--- a/packages/stand-ins/src/engine-stand-in.ts
+++ b/packages/stand-ins/src/engine-stand-in.ts
@@ -1,5 +1,5 @@
 /* eslint-disable @typescript-eslint/naming-convention -- names of the OpenAI wire format */
-/** Test double of a model engine over HTTP, based on the simulated engine. */
+/** Test double of a model engine over HTTP, based on the simulated engine in `engine-core.ts`. */
 import {type ServerResponse} from 'node:http';
 import {setImmediate as nextTurn, setTimeout as sleep} from 'node:timers/promises';
 import {randomUUID} from 'node:crypto';
@@ -31,7 +31,7 @@
 	resume: z.object({id: z.string(), after: z.int().min(-1)}).optional(),
 });
 
-const ordersSchema = z.object({
+const orderSchema = z.object({
 	fencing: z.int().nonnegative(),
 	wanted: z.object({
 		models: z.array(z.string()).optional(), adapters: z.array(z.string()).optional(), versions: z.array(z.string()).optional(), role: z.string().optional(),
@@ -43,7 +43,7 @@
 type OpenStream = {
 	/** Id in the chunks. A resumed stream keeps the id of the stream that it continues. */
 	readonly id: string;
-	/** Unique id within the simulated engine. */
+	/** Id of the job in the simulated engine. It is unique, unlike `id`. */
 	readonly jobId: string;
 	readonly body: ChatBody;
 	readonly marker: string;
@@ -64,12 +64,13 @@
 	readonly countCancelled: () => number;
 	readonly countRunning: () => number;
 	/** Accepted orders. */
-	readonly orders: ReadonlyArray<z.output<typeof ordersSchema>>;
+	readonly orders: ReadonlyArray<z.output<typeof orderSchema>>;
 };
 
 type EngineOptions = {
 	readonly models?: readonly string[];
 	readonly parameters?: Partial<EngineParameters>;
+	/** Whether orders with an outdated fencing token are refused. */
 	readonly checksFencing?: boolean;
 	/** A prompt that contains this text crashes the engine. */
 	readonly crashMarker?: string;
@@ -106,12 +107,12 @@
 	const faults = makeFaultTable();
 	const streams = new Map<string, OpenStream>();
 	const events: Array<CacheEvent & {seq: number}> = [];
-	const orders: Array<z.output<typeof ordersSchema>> = [];
+	const orders: Array<z.output<typeof orderSchema>> = [];
 	let report = {...core.getLoad(), at: Date.now()};
 	const arrivals: Array<{marker: string; at: number}> = [];
 	let requestCount = 0;
 	let cancelledCount = 0;
-	let isRunning = false;
+	let isStepping = false;
 	let isClosed = false;
 
 	const endStream = (stream: OpenStream): void => {
@@ -124,7 +125,7 @@
 		sendJson(stream.response, {status: 200, body: makeCompletion(stream)});
 	};
 
-	/** Applies the fault of a stream if it is due. Returns whether the current token is suppressed by it. */
+	/** Applies the fault of a stream if it is due. Returns true if the current token must not be sent. */
 	const applyFault = (stream: OpenStream): boolean => {
 		const {fault} = stream;
 		if (fault === undefined || stream.sentTokens < (fault.afterChunks ?? 0)) {
@@ -181,18 +182,19 @@
 		}
 	};
 
-	const recordEvents = (): void => {
+	const recordCacheEvents = (): void => {
 		for (const event of core.takeEvents()) {
 			events.push({...event, seq: events.length});
 		}
 	};
 
+	/** Runs the steps of the simulated engine in real time until no work is left. */
 	const runSteps = async (): Promise<void> => {
-		if (isRunning) {
+		if (isStepping) {
 			return;
 		}
 
-		isRunning = true;
+		isStepping = true;
 		let pendingMs = 0;
 		for (let step = core.step(); step !== undefined; step = isClosed ? undefined : core.step()) {
 			pendingMs += step.durationMs;
@@ -209,10 +211,10 @@
 				emitToken(token);
 			}
 
-			recordEvents();
+			recordCacheEvents();
 		}
 
-		isRunning = false;
+		isStepping = false;
 	};
 
 	const openStream = (body: ChatBody, response: ServerResponse, requestId: string, fault: Fault | undefined): void => {
@@ -276,7 +278,7 @@
 		openStream(parsed.data, response, requestId, fault);
 	};
 
-	/** Returns the last load report, and renews it if it has reached its maximum age. */
+	/** Returns the last load report, or a new one if the last has reached its maximum age. */
 	const getLoadReport = (): JsonReply => {
 		const now = Date.now();
 		if (now - report.at >= parameters.loadLagMs) {
@@ -287,7 +289,7 @@
 	};
 
 	const handleOrder = (body: unknown): JsonReply => {
-		const parsed = ordersSchema.safeParse(body);
+		const parsed = orderSchema.safeParse(body);
 		if (!parsed.success) {
 			return {status: 400};
 		}
--- a/packages/tasks/src/backend-registry.ts
+++ b/packages/tasks/src/backend-registry.ts
@@ -23,11 +23,13 @@
 import {type Environment} from './environment.js';
 import {findPrice, listConfiguredBackends, type ActiveConfigurations} from './active-configurations.js';
 
+/** Whether the backend server was first found in a configuration or in the instance list. */
 type Origin = 'configuration' | 'list';
 
 type Entry = {
 	view: BackendView;
 	readonly origin: Origin;
+	/** Announced time of the removal, if known. */
 	leavesAt: number | undefined;
 	/** Aborted when the calls that run on the backend server must move to another one. */
 	leaving: AbortController;
@@ -49,8 +51,9 @@
 	readonly applyConfigurations: (activeConfigurations: ActiveConfigurations) => void;
 	/** Adds and removes backend servers to match the instance list. */
 	readonly applyInstanceList: (list: InstanceList) => void;
-	/** Applies a reclaim notice. Calls that run on the backend server are moved before `leavesAt`. */
+	/** Applies a notice that the backend server will be removed, for example reclaimed. Its running calls are moved before `leavesAt`. */
 	readonly applyLeavingNotice: (id: string, leavesAt: number | undefined) => void;
+	/** Applies a load report. Ignores it if a newer one was applied. */
 	readonly applyLoadReport: (id: string, report: LoadReport) => void;
 	/** Applies cache events reported by an engine. They correct the estimate that is based on this daemon's own calls. */
 	readonly applyCacheEvents: (id: string, events: readonly CacheEvent[]) => void;
@@ -62,21 +65,23 @@
 	readonly begin: (id: string, start?: CallStart) => void;
 	/** Records that the engine has prefilled the prompt tokens of a call. */
 	readonly recordPromptPrefilled: (id: string, promptTokens: number) => void;
+	/** Records that a call on the backend server has ended. */
 	readonly end: (id: string, isUrgent?: boolean) => void;
-	/** Records a measured speed and the prompt prefix that the engine has cached. */
-	readonly recordSpeedSample: (id: string, sample: SpeedSample, chain: readonly bigint[]) => void;
+	/** Records a measured speed and the prompt prefix that the engine has cached, and adapts the concurrency limit. */
+	readonly recordSpeedSample: (id: string, sample: SpeedSample, prefixHashes: readonly bigint[]) => void;
 	/** Sends no new calls to the backend server for a short time. */
 	readonly avoid: (id: string) => void;
 	readonly list: () => BackendView[];
 	readonly getView: (id: string) => BackendView | undefined;
 	/** Counts the prompt blocks that the engine is expected to have cached. */
-	readonly countCachedBlocks: (id: string, chain: readonly bigint[]) => number;
+	readonly countCachedBlocks: (id: string, prefixHashes: readonly bigint[]) => number;
 	/** Returns a signal that is aborted shortly before the backend server is removed. */
 	readonly getLeavingSignal: (id: string) => AbortSignal | undefined;
+	/** Whether the backend server is leaving. Also true if it is unknown. */
 	readonly isLeaving: (id: string) => boolean;
 	/** Counts the backend servers that serve the service and are not leaving. */
 	readonly countServing: (serviceId: string) => number;
-	/** Returns the number of slots for calls of the service: the sum of the concurrency limits of its backend servers. */
+	/** Returns how many calls of the service this daemon runs concurrently at most: the sum of the limits of the backend servers that are not leaving. */
 	readonly countSlots: (serviceId: string) => number;
 };
 
@@ -94,6 +99,7 @@
 /** How long before the removal of a backend server its streams are moved. */
 const moveMarginMs = 1500;
 
+/** Number of cached prompt blocks remembered per backend server. */
 const maxKnownBlocks = 20_000;
 
 /** Number of recent send times kept per backend server, to count the calls that a load report does not include yet. */
@@ -116,6 +122,7 @@
 	let activeConfigurations: ActiveConfigurations | undefined;
 	let instanceList: InstanceList | undefined;
 
+	/** Aborts the entry's `leaving` signal shortly before the backend server is removed, so that its calls move to another one. */
 	const scheduleMove = async (entry: Entry): Promise<void> => {
 		const {leavesAt} = entry;
 		if (leavesAt === undefined) {
@@ -129,6 +136,7 @@
 			return;
 		}
 
+		// The controller is replaced if the backend server is no longer leaving.
 		if (entry.leaving === leaving) {
 			leaving.abort();
 		}
@@ -148,19 +156,19 @@
 
 	type BackendDescription = Pick<BackendView, 'id' | 'address' | 'availabilityZone' | 'machineClass' | 'services' | 'checksFencing'>;
 
-	const upsertEntry = (described: BackendDescription, origin: Origin): Entry => {
-		const price = activeConfigurations === undefined ? 0 : findPrice(activeConfigurations, described.availabilityZone, described.machineClass);
-		const existing = entries.get(described.id);
-		if (existing?.view.address === described.address) {
-			existing.view = {...existing.view, ...described, price};
+	const upsertEntry = (description: BackendDescription, origin: Origin): Entry => {
+		const price = activeConfigurations === undefined ? 0 : findPrice(activeConfigurations, description.availabilityZone, description.machineClass);
+		const existing = entries.get(description.id);
+		if (existing?.view.address === description.address) {
+			existing.view = {...existing.view, ...description, price};
 			return existing;
 		}
 
 		// The same id at a different address is a new process with an empty cache.
-		removeBackend(prefixes, described.id);
+		removeBackend(prefixes, description.id);
 		const entry: Entry = {
 			view: {
-				...described, idHash: hashText(described.id), price, isLeaving: false, avoidUntil: 0, running: 0, sentSinceReport: 0, speed: defaultSpeed, pendingTokens: 0, urgentCalls: 0, cacheTokens: 0, limit: maxRunning,
+				...description, idHash: hashText(description.id), price, isLeaving: false, avoidUntil: 0, running: 0, sentSinceReport: 0, speed: defaultSpeed, pendingTokens: 0, urgentCalls: 0, cacheTokens: 0, limit: maxRunning,
 			},
 			origin,
 			leavesAt: undefined,
@@ -168,7 +176,7 @@
 			sentTimes: [],
 			concurrency: makeConcurrencyLimit(maxRunning),
 		};
-		entries.set(described.id, entry);
+		entries.set(description.id, entry);
 		return entry;
 	};
 
@@ -282,7 +290,7 @@
 				call,
 				backends: [...entries.values()].map(entry => entry.view),
 				findBackend: id => entries.get(id)?.view,
-				countCachedBlocks: (id, chain) => countCachedBlocks(prefixes, id, chain),
+				countCachedBlocks: (id, prefixHashes) => countCachedBlocks(prefixes, id, prefixHashes),
 				listHolders: hash => listHolders(prefixes, hash),
 				random,
 			});
@@ -308,7 +316,7 @@
 			updateView(id, view => ({...view, running: Math.max(0, view.running - 1), urgentCalls: Math.max(0, view.urgentCalls - (isUrgent ? 1 : 0))}));
 			metrics.running.dec();
 		},
-		recordSpeedSample(id, sample, chain) {
+		recordSpeedSample(id, sample, prefixHashes) {
 			const entry = entries.get(id);
 			if (entry === undefined) {
 				return;
@@ -318,14 +326,14 @@
 				now: clock.now(), running: entry.view.running, isOverloaded: isSlowedByLoad(entry.view.speed, sample) || (entry.view.report?.queued ?? 0) > 0, maxConcurrency: maxRunning,
 			});
 			entry.view = {...entry.view, speed: updateSpeed(entry.view.speed, sample), limit: entry.concurrency.limit};
-			recordPrefix(prefixes, id, chain);
+			recordPrefix(prefixes, id, prefixHashes);
 		},
 		avoid(id) {
 			updateView(id, view => ({...view, avoidUntil: clock.now() + avoidanceMs}));
 		},
 		list: () => [...entries.values()].map(entry => entry.view),
 		getView: id => entries.get(id)?.view,
-		countCachedBlocks: (id, chain) => countCachedBlocks(prefixes, id, chain),
+		countCachedBlocks: (id, prefixHashes) => countCachedBlocks(prefixes, id, prefixHashes),
 		getLeavingSignal: id => entries.get(id)?.leaving.signal,
 		isLeaving: id => entries.get(id)?.view.isLeaving ?? true,
 		countServing(serviceId) {
--- a/packages/tasks/src/load-reports.ts
+++ b/packages/tasks/src/load-reports.ts
@@ -18,7 +18,7 @@
 	readonly listZoneMembers: () => readonly string[];
 };
 
-const readIntervalMs = 1000;
+const pollIntervalMs = 1000;
 
 /**
  * With more engines than this, each is polled half as often. At the full rate the load reports
@@ -27,10 +27,10 @@
 const maxEnginesAtFullRate = 8;
 
 /** Up to this many engines, every daemon polls all of them. With more, each daemon polls only the engines assigned to it. */
-const maxEnginesReadByAll = 16;
+const maxEnginesPolledByAll = 16;
 
 /** Number of daemons that poll the same engine, so that reports continue when one of them fails. */
-const reportersPerEngine = 2;
+const pollersPerEngine = 2;
 
 export const runLoadReports = async (options: LoadReportOptions): Promise<void> => {
 	const {environment, registry, dispatcher} = options;
@@ -42,18 +42,18 @@
 	 * Whether this daemon polls all engines. Only then are cache events read: they cover every prompt,
 	 * and with many engines they would exceed all other control traffic.
 	 */
-	const readsEveryEngine = (): boolean => listEngines().length <= maxEnginesReadByAll;
+	const pollsEveryEngine = (): boolean => listEngines().length <= maxEnginesPolledByAll;
 
 	const listAssignedEngines = (): string[] => {
 		const engines = listEngines();
-		if (readsEveryEngine()) {
+		if (pollsEveryEngine()) {
 			return engines.map(view => view.id);
 		}
 
 		const members = options.listZoneMembers();
 		return engines
 			.filter(view => view.availabilityZone === settings.instance.availabilityZone)
-			.filter(view => rankByRendezvous(view.id, members).slice(0, reportersPerEngine).includes(settings.instance.id))
+			.filter(view => rankByRendezvous(view.id, members).slice(0, pollersPerEngine).includes(settings.instance.id))
 			.map(view => view.id);
 	};
 
@@ -107,9 +107,9 @@
 	while (!signal.aborted) {
 		dropRemovedEngines();
 		const assigned = listAssignedEngines();
-		const pauseMs = assigned.length > maxEnginesAtFullRate ? readIntervalMs * 2 : readIntervalMs;
+		const pauseMs = assigned.length > maxEnginesAtFullRate ? pollIntervalMs * 2 : pollIntervalMs;
 		await Promise.all(assigned.map(async id => readLoadReport(id))); // eslint-disable-line no-await-in-loop
-		await Promise.all(readsEveryEngine() ? assigned.map(async id => readEngineCacheEvents(id)) : []); // eslint-disable-line no-await-in-loop
+		await Promise.all(pollsEveryEngine() ? assigned.map(async id => readEngineCacheEvents(id)) : []); // eslint-disable-line no-await-in-loop
 		await waitUntilOrAborted(clock, addMilliseconds(clock.now(), pauseMs), signal); // eslint-disable-line no-await-in-loop
 	}
 };
