--- a/apps/daemon/src/make-peer-handlers.ts
+++ b/apps/daemon/src/make-peer-handlers.ts
@@ -30,11 +30,11 @@
 		versions: Object.fromEntries([...configuration.getActiveConfigurations().teams.values()].map(({team, version}) => [team, version as number])),
 	}),
 	async claim({claim, isNew, traceparent}, from) {
-		const hop = tracing.startSpan('claim', traceparent, {from});
+		const span = tracing.startSpan('claim', traceparent, {from});
 		try {
 			return await claims.answerPeer(claim, isNew);
 		} finally {
-			hop.end();
+			span.end();
 		}
 	},
 	recordOutcome: async ({keyName, outcome}) => ({isRecorded: await claims.recordForPeer(keyName, outcome)}),
--- a/apps/daemon/src/run-platform-daemon.ts
+++ b/apps/daemon/src/run-platform-daemon.ts
@@ -61,9 +61,9 @@
 	const watcher = watchSettings({
 		path,
 		read: readGatewaySettings,
-		onChange(newSettings) {
-			currentSettings = newSettings;
-			gateway.reload(newSettings);
+		onChange(changedSettings) {
+			currentSettings = changedSettings;
+			gateway.reload(changedSettings);
 		},
 		onInvalid(mistakes) {
 			log.write('failure', 'settings_refused', {mistakes});
--- a/packages/callers/src/caller-call.ts
+++ b/packages/callers/src/caller-call.ts
@@ -14,7 +14,7 @@
 	readonly requestId: string;
 	readonly url: URL;
 	/** Trace span of the whole call. */
-	readonly hop: TraceSpan;
+	readonly span: TraceSpan;
 	readonly startedAt: number;
 	/** Aborted when the caller disconnects before the response is complete. */
 	readonly callerGoneSignal: AbortSignal;
--- a/packages/callers/src/choose-engine.ts
+++ b/packages/callers/src/choose-engine.ts
@@ -12,7 +12,7 @@
 const makeRoutedCall = (context: ChatContext, progress: ChatProgress, avoided: ReadonlySet<string>): RoutedCall => ({
 	service: context.serviceId,
 	promptTokens: context.promptTokens + progress.position.tokens,
-	chain: context.prefixHashes,
+	prefixHashes: context.prefixHashes,
 	expectedTokens: Math.max(1, getExpectedTokens(context.chat) - progress.position.tokens),
 	now: context.services.environment.clock.now(),
 	availabilityZone: context.services.environment.settings.instance.availabilityZone,
@@ -26,7 +26,7 @@
  */
 export const chooseEngine = (context: ChatContext, progress: ChatProgress, avoided: ReadonlySet<string>): BackendView => {
 	const {registry, environment} = context.services;
-	const hop = context.call.hop.startChild('routing');
+	const span = context.call.span.startChild('routing');
 	const routedCall = makeRoutedCall(context, progress, avoided);
 	let chosen = registry.choose(routedCall);
 	if (chosen === undefined && progress.excluded.size > 0 && avoided.size === 0) {
@@ -35,7 +35,7 @@
 		chosen = registry.choose({...routedCall, excluded: new Set()});
 	}
 
-	hop.end();
+	span.end();
 	if (chosen === undefined) {
 		throw new ServingError(`no engine serves ${context.service.name} now`, {kind: 'no_backend', retryAt: addMilliseconds(environment.clock.now(), retryAfterMs)});
 	}
--- a/packages/callers/src/listener.ts
+++ b/packages/callers/src/listener.ts
@@ -141,7 +141,7 @@
 			result = failure.kind;
 			sendRefusal(call, failure);
 		} finally {
-			call.hop.end(failure);
+			call.span.end(failure);
 			metrics.requests.inc({service, result});
 			metrics.requestSeconds.observe({service}, (clock.now() - call.startedAt) / 1000);
 			logger.debug('request_ended', {
@@ -168,9 +168,9 @@
 		response.on('error', () => {/* the caller has disconnected */});
 		try {
 			const url = parseUrl(request);
-			const hop = tracing.startSpan('caller', getHeader(request, 'traceparent'), {method: request.method ?? '', path: url.pathname, requestId});
+			const span = tracing.startSpan('caller', getHeader(request, 'traceparent'), {method: request.method ?? '', path: url.pathname, requestId});
 			void serve({
-				request, response, requestId, url, hop, startedAt: clock.now(), callerGoneSignal: callerGone.signal, execution: {mayHaveRun: false},
+				request, response, requestId, url, span, startedAt: clock.now(), callerGoneSignal: callerGone.signal, execution: {mayHaveRun: false},
 			});
 		} catch (error) {
 			sendRefusal({response, requestId}, toServingError(error));
--- a/packages/callers/src/plain-call.ts
+++ b/packages/callers/src/plain-call.ts
@@ -67,7 +67,7 @@
 
 /** Waits until the call is admitted. Returns a function that releases its slot. */
 export const admitCall = async (context: PlainCallContext): Promise<() => void> => {
-	const hop = context.call.hop.startChild('admission');
+	const span = context.call.span.startChild('admission');
 	try {
 		return await context.services.gate.admit({
 			id: context.call.requestId,
@@ -82,25 +82,25 @@
 			signal: context.call.callerGoneSignal,
 		});
 	} finally {
-		hop.end();
+		span.end();
 	}
 };
 
 /** Selects a backend server that is not excluded; undefined if none is available. */
 export const choosePlainBackend = (context: PlainCallContext, excluded: ReadonlySet<string>): BackendView | undefined => {
 	const {registry, environment} = context.services;
-	const hop = context.call.hop.startChild('routing');
+	const span = context.call.span.startChild('routing');
 	const chosen = registry.choose({
 		service: context.serviceId,
 		promptTokens: 0,
-		chain: [],
+		prefixHashes: [],
 		expectedTokens: 1,
 		now: environment.clock.now(),
 		availabilityZone: environment.settings.instance.availabilityZone,
 		target: undefined,
 		excluded,
 	});
-	hop.end();
+	span.end();
 	return chosen;
 };
 
@@ -115,11 +115,11 @@
 /** Runs one call to one backend server and records its load, metrics and trace span. Rethrows errors from `send`. */
 export const runAtBackend = async <Result>({context, backend, attemptSignal, send}: BackendRun<Result>): Promise<Result> => {
 	const {registry, environment} = context.services;
-	const hop = context.call.hop.startChild('backend', {backend: backend.id});
+	const span = context.call.span.startChild('backend', {backend: backend.id});
 	registry.begin(backend.id);
 	let failure: unknown;
 	try {
-		return await send(hop.getTraceparent());
+		return await send(span.getTraceparent());
 	} catch (error) {
 		failure = error;
 		context.call.execution.mayHaveRun ||= !(error instanceof BackendCallError) || error.wasSent;
@@ -131,7 +131,7 @@
 	} finally {
 		attemptSignal.dispose();
 		registry.end(backend.id);
-		hop.end(failure);
+		span.end(failure);
 		environment.metrics.attempts.inc({service: context.serviceId, result: failure === undefined ? 'ok' : attemptSignal.getEndReason() ?? 'failed'});
 	}
 };
--- a/packages/callers/src/run-engine-attempt.ts
+++ b/packages/callers/src/run-engine-attempt.ts
@@ -101,7 +101,7 @@
 		quietTimeoutMs: isStream ? environment.settings.limits.quietStreamMs : undefined,
 		onQuiet: async () => isQuietFailure(context, engine, progress, startedAt),
 	});
-	const hop = call.hop.startChild('backend', {backend: engine.id, try: progress.attempts});
+	const span = call.span.startChild('backend', {backend: engine.id, try: progress.attempts});
 	const uncachedTokens = Math.max(0, context.promptTokens - (registry.countCachedBlocks(engine.id, context.prefixHashes) * estimateTokens(blockCharacters)));
 	let isPrefilled = false;
 	const markPrefilled = (): void => {
@@ -117,7 +117,7 @@
 	let failure: unknown;
 	try {
 		const attempt = {
-			engine, attemptSignal, uncachedTokens, traceparent: hop.getTraceparent(), onTokens() {
+			engine, attemptSignal, uncachedTokens, traceparent: span.getTraceparent(), onTokens() {
 				markPrefilled();
 				onTokens();
 			},
@@ -132,7 +132,7 @@
 		markPrefilled();
 		registry.end(engine.id, isUrgent);
 		endRun();
-		hop.end(failure);
+		span.end(failure);
 	}
 
 	environment.metrics.attempts.inc({service: context.serviceId, result: failure === undefined ? 'ok' : attemptSignal.getEndReason() ?? 'failed'});
--- a/packages/callers/src/serve-chat.ts
+++ b/packages/callers/src/serve-chat.ts
@@ -167,7 +167,7 @@
 	};
 	budgets.earn(context.budgetName);
 	checkQuarantine(services, context.fingerprint);
-	const hop = call.hop.startChild('admission');
+	const span = call.span.startChild('admission');
 	const release = await gate.admit({
 		id: call.requestId,
 		team: account.team,
@@ -180,7 +180,7 @@
 		deadline: context.deadline,
 		signal: call.callerGoneSignal,
 	});
-	hop.end();
+	span.end();
 	try {
 		await respondToChat(context);
 	} finally {
--- a/packages/callers/src/serve-claimed.ts
+++ b/packages/callers/src/serve-claimed.ts
@@ -207,7 +207,7 @@
 		const delayMs = Math.min(maxPollIntervalMs, initialPollIntervalMs * (2 ** polls));
 		/* eslint-disable no-await-in-loop -- polls until the outcome is known */
 		await waitUntilOrAborted(clock, Math.min(context.deadline, clock.now() + delayMs) as Deadline, context.call.callerGoneSignal);
-		const answer = await claims.lookUp(claim, context.deadline, context.call.hop);
+		const answer = await claims.lookUp(claim, context.deadline, context.call.span);
 		/* eslint-enable no-await-in-loop */
 		if (answer.kind !== 'running' && answer.kind !== 'unavailable') {
 			return answer;
@@ -253,10 +253,10 @@
 };
 
 const claimAndRun = async (context: PlainCallContext, claim: Claim, body: Uint8Array): Promise<void> => {
-	const hop = context.call.hop.startChild('claim');
+	const span = context.call.span.startChild('claim');
 	const claimBy = Math.min(context.deadline, claim.dispatchBy - dispatchMarginMs) as Deadline;
-	const answer = await context.services.claims.claim(claim, claimBy, hop);
-	hop.end();
+	const answer = await context.services.claims.claim(claim, claimBy, span);
+	span.end();
 	if (answer.kind === 'won') {
 		await runWonClaim(context, claim, answer.fencing, body);
 		return;
--- a/packages/core/src/configuration/exchange-offers.ts
+++ b/packages/core/src/configuration/exchange-offers.ts
@@ -15,7 +15,7 @@
 	Object.fromEntries([...state.accepted].map(([team, accepted]) => [team, accepted.version]));
 
 /** Whether the digest contains a version that is newer than the one this daemon has accepted. */
-export const hasNewerVersion = (state: ConfigurationState, digest: Readonly<Record<string, number>>): boolean =>
+export const isBehindDigest = (state: ConfigurationState, digest: Readonly<Record<string, number>>): boolean =>
 	Object.entries(digest).some(([team, version]) => version > getAcceptedVersion(state, team));
 
 /**
--- a/packages/core/src/routing/compute-cost.ts
+++ b/packages/core/src/routing/compute-cost.ts
@@ -40,7 +40,7 @@
  * there. A backend server known to have all blocks is better.
  */
 export const estimateCachedBlocks = ({call, countCachedBlocks}: RoutingContext, backend: BackendView, preferred: BackendView | undefined): number =>
-	Math.max(countCachedBlocks(backend.id, call.chain), backend === preferred ? call.chain.length - 1 : 0);
+	Math.max(countCachedBlocks(backend.id, call.prefixHashes), backend === preferred ? call.prefixHashes.length - 1 : 0);
 
 const computeLatePenalty = (predictedMs: number, targetMs: number): number =>
 	Math.min(maxLatePenaltyMs, Math.max(0, predictedMs - (targetMs * usableTargetShare)) * lateFactor);
--- a/packages/core/src/routing/find-preferred-backend.ts
+++ b/packages/core/src/routing/find-preferred-backend.ts
@@ -39,7 +39,7 @@
 
 /** Finds the preferred backend server of a prompt. The load bound keeps a hot prefix from overloading a single backend server. */
 export const findPreferredBackend = (context: RoutingContext, candidates: readonly BackendView[]): BackendView | undefined => {
-	const key = getAffinityKey(context.call.chain);
+	const key = getAffinityKey(context.call.prefixHashes);
 	if (key === undefined || candidates.length === 0) {
 		return undefined;
 	}
--- a/packages/core/src/routing/policies.ts
+++ b/packages/core/src/routing/policies.ts
@@ -48,7 +48,7 @@
 /** Always chooses the owner of the prompt prefix by rendezvous hashing with equal weights. */
 export const choosePrefixAffinity: RoutingPolicy = ({call, backends, random}) => {
 	const candidates = listCandidates(call, backends);
-	const key = getAffinityKey(call.chain);
+	const key = getAffinityKey(call.prefixHashes);
 	return key === undefined
 		? pickRandom(candidates, random)
 		: pickLowest(candidates, backend => -scoreMember(key, backend.idHash, 1));
@@ -70,7 +70,7 @@
 		considered.add(preferred);
 	}
 
-	const affinityBlock = getAffinityBlock(call.chain);
+	const affinityBlock = getAffinityBlock(call.prefixHashes);
 	const holders = affinityBlock === undefined ? undefined : context.listHolders(affinityBlock);
 	if (holders !== undefined) {
 		const isHealthy = (candidates[0]?.avoidUntil ?? 0) <= call.now;
--- a/packages/core/src/routing/routing.test.ts
+++ b/packages/core/src/routing/routing.test.ts
@@ -19,7 +19,7 @@
 });
 
 const makeCall = (change: Partial<RoutedCall> = {}): RoutedCall => ({
-	service: 's', promptTokens: 1000, chain: [], expectedTokens: 10, now: 100, availabilityZone: 'z', target: undefined, excluded: new Set(), ...change,
+	service: 's', promptTokens: 1000, prefixHashes: [], expectedTokens: 10, now: 100, availabilityZone: 'z', target: undefined, excluded: new Set(), ...change,
 });
 
 const makeContext = (call: RoutedCall, backends: readonly BackendView[], known = makeKnownPrefixes(100)): RoutingContext => ({
@@ -36,7 +36,7 @@
 test('no policy chooses a backend server that is leaving, excluded or does not serve the service', () => {
 	const backends = [makeBackend('leaving', {isLeaving: true}), makeBackend('tried'), makeBackend('other', {services: ['else']}), makeBackend('right')];
 	for (const policy of [chooseLowestCost, chooseLeastRequests, choosePowerOfTwo, choosePrefixAffinity, makeRoundRobin()]) {
-		const call = makeCall({excluded: new Set(['tried']), chain: [5n]});
+		const call = makeCall({excluded: new Set(['tried']), prefixHashes: [5n]});
 		assert.equal(policy(makeContext(call, backends))?.id, 'right');
 		assert.equal(policy(makeContext(call, backends.slice(0, 3))), undefined);
 	}
@@ -52,7 +52,7 @@
 	const known = makeKnownPrefixes(100);
 	const chain = [1n, 2n, 3n, 4n, 5n, 6n, 7n, 8n, 9n, 10n, 11n, 12n];
 	recordPrefix(known, 'b3', chain);
-	const call = makeCall({chain, promptTokens: 770});
+	const call = makeCall({prefixHashes: chain, promptTokens: 770});
 	assert.equal(chooseLowestCost(makeContext(call, makeBackends(20), known))?.id, 'b3');
 	const busy = makeBackends(20).map(backend => backend.id === 'b3' ? {...backend, report: {running: 64, queued: 80, at: 0}} : backend);
 	assert.notEqual(chooseLowestCost(makeContext(call, busy, known))?.id, 'b3');
@@ -63,7 +63,7 @@
 	let moved = 0;
 	const counts = new Map<string, number>();
 	for (let prompt = 0; prompt < 2000; prompt++) {
-		const call = makeCall({chain: hashPrompt(`${prompt} `.repeat(300))});
+		const call = makeCall({prefixHashes: hashPrompt(`${prompt} `.repeat(300))});
 		const preferred = findPreferredBackend(makeContext(call, backends), backends)!;
 		assert.equal(findPreferredBackend(makeContext(call, backends), backends.toReversed())?.id, preferred.id);
 		const remaining = backends.filter(backend => backend.id !== 'b7');
@@ -77,7 +77,7 @@
 });
 
 test('a backend server above its load bound is not preferred', () => {
-	const call = makeCall({chain: [77n]});
+	const call = makeCall({prefixHashes: [77n]});
 	const preferred = findPreferredBackend(makeContext(call, makeBackends(5)), makeBackends(5))!;
 	const loaded = makeBackends(5).map(backend => ({...backend, running: backend.id === preferred.id ? 100 : 10}));
 	assert.notEqual(findPreferredBackend(makeContext(call, loaded), loaded)?.id, preferred.id);
@@ -89,7 +89,7 @@
 	const backends = [makeBackend('small', {cacheTokens: 100_000}), makeBackend('large', {cacheTokens: 300_000})];
 	const counts = new Map<string, number>();
 	for (let prompt = 0; prompt < 2000; prompt++) {
-		const call = makeCall({chain: hashPrompt(`${'the same instructions '.repeat(40)}${`${prompt} `.repeat(600)}`)});
+		const call = makeCall({prefixHashes: hashPrompt(`${'the same instructions '.repeat(40)}${`${prompt} `.repeat(600)}`)});
 		const preferred = findPreferredBackend(makeContext(call, backends), backends)!;
 		counts.set(preferred.id, (counts.get(preferred.id) ?? 0) + 1);
 	}
--- a/packages/core/src/routing/types.ts
+++ b/packages/core/src/routing/types.ts
@@ -61,7 +61,7 @@
 	readonly service: string;
 	readonly promptTokens: number;
 	/** Hash chain of the prompt's blocks, in which each hash includes all blocks before it; empty for services without prompts. */
-	readonly chain: readonly bigint[];
+	readonly prefixHashes: readonly bigint[];
 	readonly expectedTokens: number;
 	readonly now: number;
 	/** Availability zone of this daemon, which is also the caller's. */
--- a/packages/tasks/src/claim-service.ts
+++ b/packages/tasks/src/claim-service.ts
@@ -17,9 +17,9 @@
 
 export type ClaimService = {
 	/** Claims the key over the first route that reaches the log. After `unavailable`, the claim may or may not be in the log. */
-	readonly claim: (claim: Claim, deadline: Deadline, hop?: TraceSpan) => Promise<ClaimResult>;
+	readonly claim: (claim: Claim, deadline: Deadline, span?: TraceSpan) => Promise<ClaimResult>;
 	/** Returns the current state of the claim's key without claiming it. */
-	readonly lookUp: (claim: Claim, deadline: Deadline, hop?: TraceSpan) => Promise<ClaimResult>;
+	readonly lookUp: (claim: Claim, deadline: Deadline, span?: TraceSpan) => Promise<ClaimResult>;
 	/** Records the outcome, with retries until it is in the log or the retry window has passed. */
 	readonly recordOutcome: (claim: Claim, outcome: Outcome) => Promise<boolean>;
 	/** Resolves when no outcome is waiting to be recorded. */
@@ -45,7 +45,7 @@
 	readonly isNew: boolean;
 	readonly deadline: Deadline;
 	/** Parent of the trace span of a request to a peer. */
-	readonly hop: TraceSpan | undefined;
+	readonly span: TraceSpan | undefined;
 };
 
 /** How long to wait for one peer, such as the writer, before the next route is attempted. */
@@ -97,7 +97,7 @@
 		return [...new Set([writer, self, ...others])];
 	};
 
-	const claimThrough = async (id: string, {stream, claim, isNew, deadline, hop}: ClaimQuery): Promise<ClaimResult> => {
+	const claimThrough = async (id: string, {stream, claim, isNew, deadline, span}: ClaimQuery): Promise<ClaimResult> => {
 		if (id === membership.getSelf().id) {
 			const shard = getShard(stream);
 			return isNew ? shard.claim(claim) : shard.lookUp(claim);
@@ -108,7 +108,7 @@
 			return {kind: 'unavailable', detail: `${id} has no address`};
 		}
 
-		const peerHop = hop?.startChild('peer', {peer: id});
+		const peerHop = span?.startChild('peer', {peer: id});
 		let failure: unknown;
 		try {
 			const timeoutAt = Math.min(deadline, clock.now() + peerTimeoutMs) as Deadline;
@@ -180,17 +180,17 @@
 	};
 
 	return {
-		async claim(claim, deadline, hop) {
+		async claim(claim, deadline, span) {
 			const startedAt = clock.now();
 			const answer = await claimThroughAnyRoute({
-				claim, isNew: true, deadline, hop,
+				claim, isNew: true, deadline, span,
 			});
 			metrics.claims.inc({verdict: answer.kind});
 			metrics.claimSeconds.observe((clock.now() - startedAt) / 1000);
 			return answer;
 		},
-		lookUp: async (claim, deadline, hop) => claimThroughAnyRoute({
-			claim, isNew: false, deadline, hop,
+		lookUp: async (claim, deadline, span) => claimThroughAnyRoute({
+			claim, isNew: false, deadline, span,
 		}),
 		async recordOutcome(claim, outcome) {
 			const running = recordWithRetries(claim, outcome);
--- a/packages/tasks/src/configuration-task.ts
+++ b/packages/tasks/src/configuration-task.ts
@@ -9,7 +9,7 @@
 } from '@shallotpass/core/configuration/configuration-state.js';
 import {planRestatements} from '@shallotpass/core/configuration/plan-restatement.js';
 import {
-	hasNewerVersion,
+	isBehindDigest,
 	makeOffer,
 	makeVersionDigest,
 	initializeFromOffer,
@@ -129,7 +129,7 @@
 		}
 
 		case 'versions': {
-			return {state, effects: hasNewerVersion(state.configuration, message.versions) ? [{kind: 'fetch', address: message.address}] : []};
+			return {state, effects: isBehindDigest(state.configuration, message.versions) ? [{kind: 'fetch', address: message.address}] : []};
 		}
 
 		case 'settle': {
--- a/scripts/measure/src/routing/simulated-daemon.ts
+++ b/scripts/measure/src/routing/simulated-daemon.ts
@@ -130,7 +130,7 @@
 	const chooseBackend = (arrival: ChatArrival, latencyClass: LatencyClass, tokens: number, excluded: ReadonlySet<string>): BackendView | undefined => registry.choose({
 		service: chatService,
 		promptTokens: arrival.promptTokens + tokens,
-		chain: arrival.chain,
+		prefixHashes: arrival.chain,
 		expectedTokens: arrival.answerTokens - tokens,
 		now: clock.now(),
 		availabilityZone,
@@ -200,7 +200,7 @@
 		registry,
 		async servePlain(arrival) {
 			const backend = registry.choose({
-				service: deployment.plain.service, promptTokens: 0, chain: [], expectedTokens: 1, now: clock.now(), availabilityZone, target: undefined, excluded: new Set(),
+				service: deployment.plain.service, promptTokens: 0, prefixHashes: [], expectedTokens: 1, now: clock.now(), availabilityZone, target: undefined, excluded: new Set(),
 			});
 			if (backend === undefined) {
 				return undefined;
--- a/scripts/measure/src/slopes/core-slopes.ts
+++ b/scripts/measure/src/slopes/core-slopes.ts
@@ -70,7 +70,7 @@
 			call: {
 				service: 'assistant',
 				promptTokens: 2000,
-				chain: chains[index % chains.length]!,
+				prefixHashes: chains[index % chains.length]!,
 				expectedTokens: 200,
 				now: 1,
 				availabilityZone: 'zone-1',
--- a/scripts/soak/src/check-history.test.ts
+++ b/scripts/soak/src/check-history.test.ts
@@ -8,7 +8,7 @@
 } from './history.js';
 
 const makeAnswer = (changes: Partial<CallOutcome & {kind: 'answered'}> = {}): CallOutcome => ({
-	kind: 'answered', status: 200, sealedBy: 'app-0', requestId: 'c-1', body: 'answer of app-0 to c-1', isWhole: true, ...changes,
+	kind: 'answered', status: 200, vouchedBy: 'app-0', requestId: 'c-1', body: 'answer of app-0 to c-1', isWhole: true, ...changes,
 });
 
 const makeCall = (changes: Partial<CompletedCall> = {}): CompletedCall => ({
@@ -27,11 +27,11 @@
 const servedCalls = Array.from({length: 40}, (_value, index) => makeCall({id: `s-${index}`, end: makeAnswer({requestId: `s-${index}`, body: `answer of app-0 to s-${index}`})}));
 const servedRuns = servedCalls.map(({id}) => makeRun({id}));
 
-const makeRefusedCall = (status: number, changes: Partial<CompletedCall> = {}): CompletedCall => makeCall({end: makeAnswer({status, sealedBy: '', body: ''}), ...changes});
+const makeRefusedCall = (status: number, changes: Partial<CompletedCall> = {}): CompletedCall => makeCall({end: makeAnswer({status, vouchedBy: '', body: ''}), ...changes});
 
 test('the check finds no violation in a correct history', () => {
 	assert.deepEqual(findViolations(makeHistory()), []);
-	const stream = makeCall({route: 'ask', path: '/ask/a', end: makeAnswer({sealedBy: 'engine-0', body: formatExpectedStream()})});
+	const stream = makeCall({route: 'ask', path: '/ask/a', end: makeAnswer({vouchedBy: 'engine-0', body: formatExpectedStream()})});
 	assert.deepEqual(findViolations(makeHistory({calls: [stream], runs: [makeRun({backend: 'engine-0', service: 'llm', path: '/ask/a'})]})), []);
 });
 
--- a/scripts/soak/src/check-history.ts
+++ b/scripts/soak/src/check-history.ts
@@ -72,7 +72,7 @@
 };
 
 const checkSuccess = (call: CompletedCall, outcome: CallOutcome & {kind: 'answered'}, runs: readonly BackendRun[]): string[] => {
-	if (!runs.some(run => run.backend === outcome.sealedBy)) {
+	if (!runs.some(run => run.backend === outcome.vouchedBy)) {
 		return ['answered 200 without an execution on the backend server that sealed the answer'];
 	}
 
@@ -80,7 +80,7 @@
 		return ['received the answer of another call'];
 	}
 
-	const expected = serviceByRoute[call.route] === 'llm' ? formatExpectedStream() : `answer of ${outcome.sealedBy} to ${call.id}`;
+	const expected = serviceByRoute[call.route] === 'llm' ? formatExpectedStream() : `answer of ${outcome.vouchedBy} to ${call.id}`;
 	if (outcome.isWhole && outcome.body !== expected) {
 		return [`complete answer with an unexpected body: ${JSON.stringify(outcome.body.slice(0, 200))}`];
 	}
@@ -98,7 +98,7 @@
 		return checkSuccess(call, outcome, runs);
 	}
 
-	if (notRunStatuses.has(outcome.status) && outcome.sealedBy === '' && atMostOnceRoutes.has(call.route) && runs.length > 0) {
+	if (notRunStatuses.has(outcome.status) && outcome.vouchedBy === '' && atMostOnceRoutes.has(call.route) && runs.length > 0) {
 		return [`answered ${outcome.status}, but ran`];
 	}
 
--- a/scripts/soak/src/history.ts
+++ b/scripts/soak/src/history.ts
@@ -18,7 +18,7 @@
 		readonly kind: 'answered';
 		readonly status: number;
 		/** Id of the backend server that sealed the answer. Empty if the daemon answered itself. */
-		readonly sealedBy: string;
+		readonly vouchedBy: string;
 		readonly requestId: string;
 		readonly body: string;
 		readonly isWhole: boolean;
--- a/scripts/soak/src/run-caller.ts
+++ b/scripts/soak/src/run-caller.ts
@@ -39,7 +39,7 @@
 		return {
 			kind: 'answered',
 			status: answer.status,
-			sealedBy: answer.sealedBy,
+			vouchedBy: answer.sealedBy,
 			requestId: answer.requestId,
 			body: answer.body,
 			isWhole: answer.isWhole,
