--- a/scripts/measure/src/configuration-experiment.ts
+++ b/scripts/measure/src/configuration-experiment.ts
@@ -14,13 +14,13 @@
 	zones: z.int().positive(),
 	daemonsPerZone: z.int().positive(),
 	changes: z.int().positive(),
-	/** Numbers of isolated zones; each is measured in scenarios of its own. */
+	/** Numbers of partitioned zones. Each number is measured in separate scenarios. */
 	cutZones: z.array(z.int().nonnegative()),
 });
 
 type Options = z.output<typeof schema>;
 
-/** Counts how often a daemon reverts to a lower configuration version. */
+/** Polls the configuration versions of all daemons and counts the readings below a daemon's highest version so far. The count must be 0. */
 const watchForReversions = (fleet: ZonedFleet) => {
 	const highestVersions = new Map<string, number>();
 	let reverted = 0;
@@ -40,13 +40,16 @@
 	};
 };
 
-const waitForZone = async (zone: Zone, version: number, startedAt: number, histogram: Latencies): Promise<void> => {
+/** Records the time from `startedAt` until the version is in force on all daemons of the zone. */
+const waitForZone = async (zone: Zone, version: number, startedAt: number, latencies: Latencies): Promise<void> => {
 	await waitFor(`version ${version} is in force in ${zone.name}`, () => zone.daemons.every(daemon => daemon.getVersion('default') >= version), 30_000);
-	histogram.record(performance.now() - startedAt);
+	latencies.record(performance.now() - startedAt);
 };
 
+/** What a zone is partitioned from. A zone that is partitioned from the platform alone still receives configurations from other daemons. */
 type PartitionKind = 'platform' | 'platform_and_peers';
 
+/** Starts or heals the partition of the zones. */
 const setPartition = (fleet: ZonedFleet, zones: readonly Zone[], partition: PartitionKind, isPartitioned: boolean): void => {
 	for (const zone of zones) {
 		zone.setPlatformRelayMode(isPartitioned ? 'cut' : 'open');
@@ -57,37 +60,37 @@
 	}
 };
 
-const runScenario = async (fleet: ZonedFleet, isolatedCount: number, partition: PartitionKind, changes: number) => {
-	const isolatedZones = fleet.zones.slice(0, isolatedCount);
-	const connectedZones = fleet.zones.slice(isolatedCount);
+const runScenario = async (fleet: ZonedFleet, partitionedCount: number, partition: PartitionKind, changes: number) => {
+	const partitionedZones = fleet.zones.slice(0, partitionedCount);
+	const connectedZones = fleet.zones.slice(partitionedCount);
 	const zoneLatencies = fleet.zones.map(() => makeLatencies());
 	const afterHeal = makeLatencies();
 	let leaked = 0;
 	for (let index = 0; index < changes; index++) {
-		setPartition(fleet, isolatedZones, partition, true);
+		setPartition(fleet, partitionedZones, partition, true);
 		/* eslint-disable no-await-in-loop -- changes are sequential */
 		await sleep(50);
 		const startedAt = performance.now();
-		const applied = await applyConfiguration(connectedZones[0]!.daemons[0]!, makeConfigurationText(`${partition} ${isolatedCount} ${index}`));
+		const applied = await applyConfiguration(connectedZones[0]!.daemons[0]!, makeConfigurationText(`${partition} ${partitionedCount} ${index}`));
 		const version = applied.body.version!;
 		const reachableZones = partition === 'platform' ? fleet.zones : connectedZones;
 		await Promise.all(reachableZones.map(async zone => waitForZone(zone, version, startedAt, zoneLatencies[fleet.zones.indexOf(zone)]!)));
-		const leakedZones = partition === 'platform' ? [] : isolatedZones.filter(zone => zone.daemons.some(daemon => daemon.getVersion('default') >= version));
+		const leakedZones = partition === 'platform' ? [] : partitionedZones.filter(zone => zone.daemons.some(daemon => daemon.getVersion('default') >= version));
 		leaked += leakedZones.length;
-		setPartition(fleet, isolatedZones, partition, false);
+		setPartition(fleet, partitionedZones, partition, false);
 		if (partition === 'platform_and_peers') {
 			const healedAt = performance.now();
-			await Promise.all(isolatedZones.map(async zone => waitForZone(zone, version, healedAt, afterHeal)));
+			await Promise.all(partitionedZones.map(async zone => waitForZone(zone, version, healedAt, afterHeal)));
 		}
 		/* eslint-enable no-await-in-loop */
 	}
 
 	return {
-		cutFrom: isolatedCount === 0 ? 'nothing' : partition,
-		zonesCut: isolatedCount,
-		/** Number of zones that got the version while isolated; must be 0, otherwise the partition is not effective. */
+		cutFrom: partitionedCount === 0 ? 'nothing' : partition,
+		zonesCut: partitionedCount,
+		/** Number of times that a zone received the version while it was partitioned from the platform and its peers. If it isn't 0, the partition was not effective. */
 		leaked,
-		inForceMs: zoneLatencies.map((latencies, index) => ({zone: fleet.zones[index]!.name, isCut: index < isolatedCount, ...latencies.count() === 0 ? {} : getQuantiles(latencies)})),
+		inForceMs: zoneLatencies.map((latencies, index) => ({zone: fleet.zones[index]!.name, isCut: index < partitionedCount, ...latencies.count() === 0 ? {} : getQuantiles(latencies)})),
 		afterHealMs: afterHeal.count() === 0 ? undefined : getQuantiles(afterHeal),
 	};
 };
@@ -97,12 +100,12 @@
 	const reversionWatch = watchForReversions(fleet);
 	try {
 		const scenarios = [];
-		for (const isolatedCount of options.cutZones) {
-			const partitionKinds: PartitionKind[] = isolatedCount === 0 ? ['platform'] : ['platform', 'platform_and_peers'];
+		for (const partitionedCount of options.cutZones) {
+			const partitionKinds: PartitionKind[] = partitionedCount === 0 ? ['platform'] : ['platform', 'platform_and_peers'];
 			for (const partition of partitionKinds) {
-				const scenario = await runScenario(fleet, isolatedCount, partition, options.changes); // eslint-disable-line no-await-in-loop -- scenarios are sequential
+				const scenario = await runScenario(fleet, partitionedCount, partition, options.changes); // eslint-disable-line no-await-in-loop -- scenarios are sequential
 				scenarios.push(scenario);
-				printLine(`${isolatedCount} zones isolated from ${scenario.cutFrom}: in force after ${JSON.stringify(scenario.inForceMs)}${scenario.afterHealMs === undefined ? '' : `, after the partition healed ${JSON.stringify(scenario.afterHealMs)}`}`);
+				printLine(`${partitionedCount} zones partitioned from ${scenario.cutFrom}: in force after ${JSON.stringify(scenario.inForceMs)}${scenario.afterHealMs === undefined ? '' : `, after the partition healed ${JSON.stringify(scenario.afterHealMs)}`}`);
 			}
 		}
 
--- a/scripts/measure/src/fleet/memory-cloud.ts
+++ b/scripts/measure/src/fleet/memory-cloud.ts
@@ -1,4 +1,4 @@
-/** In-memory cloud API for the fleet duty, on a clock that the caller controls. Starts take time, and capacity shortages, outages and lost replies can be injected. */
+/** In-memory cloud API for testing the fleet duty on a clock that the caller controls. Starts take time, and capacity shortages, outages and lost replies can be injected. */
 import {type CloudInstance, type CloudService} from '@shallotpass/common/cloud-service.js';
 import {makeOfferKey} from '@shallotpass/core/fleet/types.js';
 
@@ -19,7 +19,7 @@
 	/** All instances that were ever started. */
 	readonly instances: readonly MemoryInstance[];
 	readonly listRunning: () => MemoryInstance[];
-	/** Announces the end of the running instances that match, and returns them. */
+	/** Announces that the matching running instances will end, and returns them. They run until `terminate` or `end` is called. */
 	readonly announceTermination: (isAffected: (instance: MemoryInstance) => boolean) => MemoryInstance[];
 	/** Ends the instances at once. */
 	readonly terminate: (instances: readonly MemoryInstance[]) => void;
--- a/scripts/measure/src/history/chaos-cluster.ts
+++ b/scripts/measure/src/history/chaos-cluster.ts
@@ -7,6 +7,7 @@
 import {startZonedFleet, type ZonedFleet} from '../zoned-fleet.js';
 import {makeHistory, type History} from './types.js';
 
+/** A prompt that contains this text crashes the engine. */
 export const crashMarker = 'POISON';
 
 export type ChaosEngine = {readonly id: string; readonly zone: string; readonly server: EngineStandIn};
@@ -16,19 +17,21 @@
 	readonly clocks: ReadonlyMap<string, JumpingClock>;
 	readonly history: History;
 	readonly random: () => number;
+	/** Fixed duration of a batch step of an engine, in milliseconds. */
 	readonly stepMs: number;
+	/** The reservation servers. */
 	readonly services: ReadonlyArray<{readonly id: string; readonly server: PlainServiceStandIn}>;
 	/** Engines that are currently in the instance list. */
 	engines: ChaosEngine[];
 	/** All engines ever started, including the removed ones. */
 	readonly allEngines: ChaosEngine[];
-	/** Ids of the engines held by an action; other actions must not touch them. */
+	/** Ids of the engines that an action of the fault injector uses. Other actions must not use them. */
 	readonly busyEngines: Set<string>;
 	/** Daemons that callers may use. */
 	daemons: Daemon[];
-	/** Set at the end of the run; callers and watchers then stop. */
+	/** Set at the end of the run, so that callers and watchers stop. */
 	isOver: boolean;
-	/** Number of engines started so far; numbers the next engine id. */
+	/** Number of engines started so far, from which the next engine id is derived. */
 	startedEngines: number;
 };
 
--- a/scripts/measure/src/history/types.ts
+++ b/scripts/measure/src/history/types.ts
@@ -19,7 +19,7 @@
 	readonly endedAt: number;
 	readonly outcome: CallOutcome;
 	readonly errorKind: string | undefined;
-	/** Whether everything that the caller received belongs to its own request and is in order; complete too if the call was answered. */
+	/** Whether everything that the caller received belongs to its own request and is in order. If the call was answered, the answer must also be complete. */
 	readonly isOwnAnswer: boolean;
 };
 
@@ -31,7 +31,7 @@
 	readonly at: number;
 };
 
-/** A reclaim announced in advance; the backend server is gone from `leavesAt` on. */
+/** A reclaim that was announced in advance. The backend server is gone from `leavesAt` on. */
 export type NoticeEvent = {
 	readonly backend: string;
 	readonly at: number;
@@ -54,7 +54,7 @@
 /** An injected fault other than an announced reclaim or a planned stop; it may leave the outcome of a call unknown. */
 export type FaultEvent = {
 	readonly description: string;
-	/** The only affected daemon, whose streams may fail too; absent for faults of the platform or the network. */
+	/** The daemon that the fault affects, including its streams. Absent for faults of the platform or the network. */
 	readonly daemon?: string;
 	readonly from: number;
 	readonly to: number;
@@ -71,7 +71,7 @@
 	readonly faults: FaultEvent[];
 	/** The configuration version of each daemon that is still running at the end. */
 	readonly finalVersions: VersionEvent[];
-	/** Number of backend servers that each crashing request brought down. */
+	/** Requests that crash backend servers, with the number of backend servers that each crashed. */
 	readonly crashingRequests: Array<{readonly key: string; readonly backends: number}>;
 };
 
--- a/scripts/measure/src/policies/policies.ts
+++ b/scripts/measure/src/policies/policies.ts
@@ -11,9 +11,9 @@
 	readonly choose: typeof chooseBackend;
 	/** Whether a backend server is treated as one in another availability zone. */
 	readonly isInOtherZone: (ownZone: string, zone: string) => boolean;
-	/** Estimates the work at a backend server that other daemons have not reported yet. */
+	/** Estimates the work that other daemons sent to a backend server and have not reported to this daemon yet, in milliseconds of prefill. */
 	readonly computeUnreportedWorkMs: typeof computeUnreportedMs;
-	/** Estimates an engine's prompt processing speed in tokens per millisecond, from the samples of this daemon and of the others. */
+	/** Estimates an engine's prefill speed in tokens per millisecond, from the samples of this daemon and of the others. */
 	readonly computeSpeed: (own: PrefillSample, others: PrefillSample, latencyModel: LatencyModel) => number;
 	/** Whether calls with the same prompt prefix have a preferred backend server. */
 	readonly hasPreferredBackends: boolean;
@@ -64,8 +64,8 @@
 	'no-homes': {...defaultPolicies, hasPreferredBackends: false},
 	// Sends each call to a random backend server.
 	'any-engine': {...defaultPolicies, choose: chooseAtRandom},
-	// Starts on-demand backend servers for every reclaim wave that the plan covers.
-	'two-waves': {...defaultPolicies, plan: input => planBackends(input, waves => waves)},
+	// Starts on-demand backend servers for every mass reclaim that the plan covers.
+	'two-waves': {...defaultPolicies, plan: input => planBackends(input, massReclaims => massReclaims)},
 	// Orders only on-demand backend servers.
 	'full-price': {...defaultPolicies, plan: planOnDemandOnly},
 	// Keeps the initial number of backend servers, all of them on-demand.
--- a/scripts/measure/src/policies/run-simulations.ts
+++ b/scripts/measure/src/policies/run-simulations.ts
@@ -18,6 +18,7 @@
 /** Runs all jobs and returns their reports in the order of the jobs. */
 export const runSimulations = async (jobs: readonly SimulationJob[]): Promise<SimulationReport[]> => runInWorkers({file: fileURLToPath(import.meta.url), kind: jobKind, jobs});
 
+// This file is also the entry point of the worker threads.
 const data = workerData as {readonly kind: string; readonly job: SimulationJob} | undefined;
 if (parentPort !== null && data?.kind === jobKind) {
 	const {customer, policy, seed} = data.job;
--- a/scripts/measure/src/policies/simulate-policies.ts
+++ b/scripts/measure/src/policies/simulate-policies.ts
@@ -10,7 +10,7 @@
 import {type RunResult} from './virtual-engine.js';
 import {startVirtualFleet, type VirtualFleet} from './virtual-fleet.js';
 
-/** Interval at which the fleet is planned, in milliseconds. */
+/** Interval at which the daemon that holds the duties plans the fleet, in milliseconds. */
 const planIntervalMs = 500;
 
 /** Time before the first call, in milliseconds. Engines that are ordered at the start begin to run in this time. */
@@ -22,7 +22,7 @@
 /** Delay after which a call that finds no engine is retried, in milliseconds. */
 const retryDelayMs = 100;
 
-/** A call that finds no engine is lost after this multiple of its target for the first event. */
+/** A call that finds no engine is lost when it has waited longer than this multiple of its latency target for the first event. */
 const retryLimitFactor = 5;
 
 /** Length of the windows whose share of calls on time is compared, in milliseconds. */
@@ -65,7 +65,7 @@
 const classifyOutcome = ({kind, at}: SimulatedCall, {firstEventAt, longestPauseMs}: RunResult): CallOutcome =>
 	firstEventAt !== undefined && firstEventAt - at <= kind.firstMs && longestPauseMs <= kind.pauseMs ? 'on_time' : 'late';
 
-/** Sends a call to an engine. Retries it when no engine is available or, if possible, when its engine is lost. */
+/** Sends a call to an engine, and retries later if none is available. When its engine is lost, the call is sent again if it is resumable or has produced no token. */
 const serveCall = (simulation: Simulation, daemon: VirtualDaemon, call: SimulatedCall, previousRun: RunResult | undefined): void => {
 	const {clock, results} = simulation;
 	const placement = daemon.placeCall(call, clock.now());
@@ -82,15 +82,15 @@
 	}
 
 	placement.engine.run(call, {
-		after: previousRun?.tokens ?? 0,
+		previousTokens: previousRun?.tokens ?? 0,
 		onFirstEvent() {
 			placement.recordFirstEvent(clock.now());
 		},
-		onEnd(end) {
+		onEnd(result) {
 			placement.recordEnd();
-			// The pause of a response that was interrupted after its first event isn't measured, so the call counts as late.
-			const mergedRun: RunResult = previousRun?.firstEventAt === undefined ? end : {...end, firstEventAt: previousRun.firstEventAt, longestPauseMs: Infinity};
-			if (end.kind === 'complete') {
+			// The pause in a response that was interrupted after its first event isn't measured. It counts as infinite, so the call is late.
+			const mergedRun: RunResult = previousRun?.firstEventAt === undefined ? result : {...result, firstEventAt: previousRun.firstEventAt, longestPauseMs: Infinity};
+			if (result.kind === 'complete') {
 				results.push({call, outcome: classifyOutcome(call, mergedRun)});
 				return;
 			}
@@ -105,7 +105,7 @@
 	});
 };
 
-/** Plans the fleet at a fixed interval, from the load that all daemons observe. */
+/** Plans the fleet at a fixed interval, based on the load that all daemons observe. */
 const startPlanning = ({customer, policies, clock, fleet, daemons}: Simulation): void => {
 	let estimate: DemandEstimate | undefined;
 	let plannedBackends = 0;
@@ -179,6 +179,7 @@
 export const simulatePolicies = (customer: Customer, policies: Policies, seed: number): SimulationReport => {
 	const clock = makeManualClock();
 	const fleet = startVirtualFleet({...customer, waves: {...customer.waves, at: customer.waves.at.map(at => at + warmUpMs)}}, clock);
+	// Not the generator of the calls, so that every policy set is simulated with the same calls.
 	const random = makeRandom(seed + 1_000_000);
 	const daemons: VirtualDaemon[] = [];
 	const reportTotals = makeReportTotals();
--- a/scripts/measure/src/policies/virtual-engine.ts
+++ b/scripts/measure/src/policies/virtual-engine.ts
@@ -10,7 +10,7 @@
 	/** Time of the first event; undefined if there was none. */
 	readonly firstEventAt: number | undefined;
 	readonly longestPauseMs: number;
-	/** Tokens that were produced, including those of earlier runs. */
+	/** Tokens that were produced for the call, including those of its earlier runs. */
 	readonly tokens: number;
 };
 
@@ -19,7 +19,7 @@
 	readonly zone: string;
 	readonly isReclaimable: boolean;
 	readonly core: EngineCore;
-	/** Whether the engine is about to end and accepts no new calls. */
+	/** Whether the end of the engine was announced, so that it accepts no new calls. */
 	isLeaving: boolean;
 	hasEnded: boolean;
 	readonly run: (call: SimulatedCall, options: RunOptions) => void;
@@ -28,10 +28,10 @@
 };
 
 export type RunOptions = {
-	/** Tokens that earlier runs produced. */
-	readonly after: number;
+	/** Tokens that earlier runs of the call produced. */
+	readonly previousTokens: number;
 	readonly onFirstEvent: () => void;
-	readonly onEnd: (end: RunResult) => void;
+	readonly onEnd: (result: RunResult) => void;
 };
 
 type Run = RunOptions & {
@@ -73,7 +73,7 @@
 		});
 	};
 
-	/** Counts a token. Tokens reach the caller in events of `eventTokens` tokens. */
+	/** Counts a token. The caller receives an event for every `eventTokens` tokens, and one for the rest at the end. */
 	const recordToken = (run: Run, isLast: boolean): void => {
 		run.tokens++;
 		if (run.tokens % run.call.kind.eventTokens !== 0 && !isLast) {
@@ -123,10 +123,10 @@
 		hasEnded: false,
 		run(call, options) {
 			runs.set(call.id, {
-				...options, call, tokens: options.after, firstEventAt: undefined, lastEventAt: clock.now(), longestPauseMs: 0,
+				...options, call, tokens: options.previousTokens, firstEventAt: undefined, lastEventAt: clock.now(), longestPauseMs: 0,
 			});
 			core.submit({
-				id: call.id, prompt: '', chain: call.blockHashes, promptTokens: call.promptTokens, priority: call.kind.rank, maxTokens: call.answerTokens, resumeAfter: options.after - 1,
+				id: call.id, prompt: '', chain: call.blockHashes, promptTokens: call.promptTokens, priority: call.kind.rank, maxTokens: call.answerTokens, resumeAfter: options.previousTokens - 1,
 			});
 			if (!isStepping) {
 				isStepping = true;
--- a/scripts/measure/src/routing/make-requests.ts
+++ b/scripts/measure/src/routing/make-requests.ts
@@ -10,6 +10,7 @@
 	readonly account: string;
 	readonly class: string;
 	readonly promptTokens: number;
+	/** Hashes of the prompt's blocks. */
 	readonly chain: readonly bigint[];
 	readonly answerTokens: number;
 };
@@ -20,7 +21,7 @@
 
 const charactersPerToken = blockCharacters / estimateTokens(blockCharacters);
 
-/** Makes a text of the given number of tokens that is unique to the name. */
+/** Makes a text of about the given number of tokens. Different names give different texts. */
 const makeText = (name: string, tokens: number): string => {
 	const characters = Math.round(tokens * charactersPerToken);
 	return `${name} `.repeat(Math.ceil(characters / (name.length + 1))).slice(0, characters);
@@ -44,15 +45,15 @@
 
 /** Makes the documents of each account and workload once, because making them again for every request would take longer than the run. */
 const makeDocuments = (deployment: Deployment, random: Random): ReadonlyMap<string, readonly string[]> => new Map(deployment.account.flatMap(account =>
-	deployment.work.map(item => [
-		`${account.name}/${item.class}`,
-		Array.from({length: item.documents}, (_value, index) => makeText(`${account.name}-${item.class}-${index}`, pickBetween(random, item.documentTokens))),
+	deployment.work.map(workload => [
+		`${account.name}/${workload.class}`,
+		Array.from({length: workload.documents}, (_value, index) => makeText(`${account.name}-${workload.class}-${index}`, pickBetween(random, workload.documentTokens))),
 	] as const)));
 
-const makePrompt = (random: Random, id: string, item: Workload, documents: readonly string[]): string => {
-	const ranked = documents.map((text, index) => ({text, weight: 1 / ((index + 1) ** item.popularity)}));
+const makePrompt = (random: Random, id: string, workload: Workload, documents: readonly string[]): string => {
+	const ranked = documents.map((text, index) => ({text, weight: 1 / ((index + 1) ** workload.popularity)}));
 	const text = ranked.length === 0 ? '' : pickWeighted(random, ranked, document => document.weight).text;
-	return `${makeText(`instructions-${item.class}`, item.instructionTokens)}${text}${makeText(id, pickBetween(random, item.questionTokens))}`;
+	return `${makeText(`instructions-${workload.class}`, workload.instructionTokens)}${text}${makeText(id, pickBetween(random, workload.questionTokens))}`;
 };
 
 /** Generates the arrival times of a Poisson process. */
@@ -70,7 +71,7 @@
 
 type RequestOptions = {
 	readonly deployment: Deployment;
-	/** Load relative to `computeCapacity`. */
+	/** Load as a multiple of `computeCapacity`. At 1, all engines together run full batches. */
 	readonly load: number;
 	readonly untilMs: number;
 	readonly seed: number;
@@ -81,18 +82,18 @@
 	const documents = makeDocuments(deployment, random);
 	const chatArrivals = generateArrivalTimes(random, computeCapacity(deployment) * load, untilMs).map((at, index): ChatArrival => {
 		const account = pickWeighted(random, deployment.account, ({part}) => part);
-		const item = pickWeighted(random, deployment.work, ({part}) => part);
+		const workload = pickWeighted(random, deployment.work, ({part}) => part);
 		const id = `chat-${index}`;
-		const prompt = makePrompt(random, id, item, documents.get(`${account.name}/${item.class}`)!);
+		const prompt = makePrompt(random, id, workload, documents.get(`${account.name}/${workload.class}`)!);
 		return {
 			kind: 'chat',
 			id,
 			at,
 			account: account.name,
-			class: item.class,
+			class: workload.class,
 			promptTokens: estimateTokens(prompt.length),
 			chain: hashPrompt(prompt),
-			answerTokens: pickBetween(random, item.answerTokens),
+			answerTokens: pickBetween(random, workload.answerTokens),
 		};
 	});
 	const plainArrivals = generateArrivalTimes(random, deployment.plain.perSecond * load, untilMs).map((at, index): PlainArrival => ({
--- a/scripts/soak/src/check-history.test.ts
+++ b/scripts/soak/src/check-history.test.ts
@@ -64,13 +64,13 @@
 		}, expected: /sent to the leaving backend server/v,
 	},
 	{
-		name: 'a call that planned work loses',
+		name: 'a call that is lost during planned work',
 		history: {calls: [makeCall({end: {kind: 'cut', reason: 'reset'}}), ...servedCalls], runs: [makeRun(), ...servedRuns], hasOnlyPlannedWork: true},
 		expected: /lost by planned work/v,
 	},
 	{name: 'a daemon that exits unexpectedly', history: {ownEnds: ['daemon-0']}, expected: /exited unexpectedly/v},
 	{name: 'a daemon that does not become ready', history: {neverReady: ['daemon-0']}, expected: /did not become ready/v},
-	{name: 'a failure to recover', history: {calls: [makeRefusedCall(503)], runs: []}, expected: /only 0 of 1/v},
+	{name: 'a cluster that does not serve calls after the last fault', history: {calls: [makeRefusedCall(503)], runs: []}, expected: /only 0 of 1/v},
 	{
 		name: 'a usage report with an outdated fence',
 		history: {
@@ -104,7 +104,7 @@
 	assert.deepEqual(findViolations(makeHistory({runs: [makeRun(), makeRun({backend: 'app-1', memory: '127.0.0.1:1/handle-of-c-1'})]})), []);
 });
 
-test('a daemon that was suspended may act on outdated state, but other daemons may not', () => {
+test('a daemon may act on outdated state shortly after it was suspended, but other daemons may not', () => {
 	const disturbances = [{daemon: 'daemon-0', from: 8000, until: 9500}];
 	assert.deepEqual(findViolations(makeHistory({
 		disturbances, bans: [{
--- a/scripts/soak/src/inject-fault.ts
+++ b/scripts/soak/src/inject-fault.ts
@@ -17,9 +17,10 @@
 /** Tolerance for a busy machine. Benchmarks measure the bound itself; this check must not depend on the load. */
 const boundMarginMs = 1500;
 
-/** A backend server that leaves without an announcement keeps serving for this time, as if it drained. */
+/** Time for which a backend server keeps serving after its removal from the store, as if it drained. */
 const servingAfterRemovalMs = 2500;
 
+/** Disrupts the links for the given time, then restores them. */
 const disruptLinks = async (relays: readonly Relay[], mode: LinkFault, forMs: number): Promise<void> => {
 	for (const relay of relays) {
 		if (mode === 'slow') {
@@ -38,9 +39,10 @@
 	}
 };
 
+/** Runs the action and records its duration as a disturbance of the daemon, or of all daemons if none is given. */
 const recordDisturbance = async (cluster: SoakCluster, daemon: string | undefined, action: () => Promise<void>): Promise<void> => {
 	const from = performance.now();
-	// The end stays open until the action is over, because the check may run in the meantime.
+	// The end stays open until the action is over, because the history may be checked in the meantime.
 	const disturbance = {daemon, from, until: Number.POSITIVE_INFINITY};
 	cluster.disturbances.push(disturbance);
 	await action();
@@ -68,7 +70,8 @@
 	daemon.process.start();
 };
 
-const removeBackendTemporarily = async (cluster: SoakCluster, index: number, isTold: boolean, forMs: number): Promise<void> => {
+/** Removes a backend server from the store, with or without an announcement, and later adds it again as a restarted one. */
+const removeBackendTemporarily = async (cluster: SoakCluster, index: number, isAnnounced: boolean, forMs: number): Promise<void> => {
 	const backend = cluster.backends[index]!;
 	// At most one backend server per service may leave at a time, so that callers are still served.
 	if (backend.isLeaving || cluster.backends.some(other => other.service === backend.service && other.isLeaving)) {
@@ -78,18 +81,18 @@
 	const {store} = cluster.fixture;
 	const entry = {service: backend.service, address: backend.relay.address, born: backend.born};
 	backend.isLeaving = true;
-	if (isTold) {
+	if (isAnnounced) {
 		announceBackend(store, backend.standIn, {...entry, isLeaving: true});
 	} else {
 		removeBackend(store, backend.standIn);
 	}
 
-	const announcedAt = performance.now();
+	const leavingSince = performance.now();
 	await sleep(forMs + boundMarginMs);
 	removeBackend(store, backend.standIn);
 	await sleep(servingAfterRemovalMs);
 	cluster.bans.push({
-		kind: 'backend', backend: backend.standIn.id, from: announcedAt + propagationBoundMs + boundMarginMs, until: performance.now(),
+		kind: 'backend', backend: backend.standIn.id, from: leavingSince + propagationBoundMs + boundMarginMs, until: performance.now(),
 	});
 	backend.born++;
 	announceBackend(store, backend.standIn, {...entry, born: backend.born});
--- a/tests/src/bad-input.test.ts
+++ b/tests/src/bad-input.test.ts
@@ -13,7 +13,7 @@
 
 const readTimeoutMs = 5000;
 
-/** Sends raw bytes and reads until the peer closes the connection or a complete answer was received. */
+/** Sends raw bytes and reads until the peer closes the connection, a complete answer was received or the read timeout expires. `shouldEnd` closes the sending side after the bytes. */
 const sendRaw = async (address: string, bytes: Uint8Array | string, shouldEnd = false): Promise<string> => new Promise(resolve => {
 	const [host, port] = address.split(':');
 	const socket = connect(Number(port), host);
@@ -129,7 +129,7 @@
 	}
 
 	assert.equal(fleet.services[0]!.countReceived(), 0);
-	assert.equal((await streamChat({address: callers, marker: 'after', tokens: 3})).isComplete, true); // eslint-disable-line unicorn/no-await-expression-member -- one look
+	assert.equal((await streamChat({address: callers, marker: 'after', tokens: 3})).isComplete, true); // eslint-disable-line unicorn/no-await-expression-member -- the value is used only once
 });
 
 test('random bytes do not crash the daemon', async t => {
@@ -162,7 +162,7 @@
 	{name: 'a model service without models', text: '[[service]]\nname = "m"\nkind = "model"', messages: [/^f\.toml: service\[0\]\.models: expected at least one model name/v]},
 ];
 
-test('errors in a configuration file state the file, the location, the expected and the actual value', () => {
+test('an error in a configuration file states the file, the location, the expected value and the actual value', () => {
 	for (const {name, text, messages} of badConfigurations) {
 		const result = readToml(text, configurationSchema);
 		assert.equal(result.kind, 'mistakes', name);
@@ -173,12 +173,12 @@
 	}
 });
 
-test('the settings suggest a similar name for an unknown key', () => {
+test('the error for an unknown settings key suggests a similar key', () => {
 	const result = readToml('[instance]\nid = "a"\navailability_zone = "z"\n[listen]\ncaller = "127.0.0.1:1"', settingsSchema);
 	assert.deepEqual(result.kind === 'mistakes' && result.mistakes[0], {place: 'listen.caller', expected: 'a known key; did you mean callers?', found: 'caller'});
 });
 
-test('the file reader does not throw on any text', () => {
+test('the TOML reader does not throw on any text', () => {
 	const fragment = fc.constantFrom('[[class]]\n', 'name = "a"\n', 'rank = 1\n', '[[service]]\n', 'kind = "plain"\n', '= 3\n', '[[account]]\n', 'services = ["x", 1]\n', '"', '[', ' \t', '1979-05-27', '{a = 1}', 'x = {b = [1, {c = 2}]}\n');
 	const text = fc.oneof(fc.string({maxLength: 200}), fc.array(fragment, {maxLength: 20}).map(fragments => fragments.join('')));
 	fc.assert(fc.property(text, value => {
@@ -187,7 +187,7 @@
 	}), {seed: 7, numRuns: 2000});
 });
 
-test('apply refuses an invalid file, a stale base version and an unknown key, and changes nothing', async t => {
+test('an invalid file, a stale base version or an unknown key is refused and leaves the configuration unchanged', async t => {
 	const fleet = await startFleet(t, {daemons: 1});
 	const [daemon] = fleet.daemons;
 	const versionBefore = daemon!.getVersion('default');
--- a/tests/src/clock-jump.test.ts
+++ b/tests/src/clock-jump.test.ts
@@ -6,7 +6,8 @@
 
 test('an instance whose clock jumps ahead by a day still knows used keys', async () => {
 	// The time service sets the clock a day ahead. If keys expired by that clock, a retry of a
-	// reservation made a minute ago would execute it again.
+	// reservation made a minute ago would execute it again. The result `unknown` means that the key was
+	// claimed, but the outcome of its request is not known.
 	const {shard, jump, makeClaim} = makeTestShard();
 	const first = await shard.claim(makeClaim('claim-1', 'order-1'));
 	assert.equal(first.kind, 'won');
@@ -16,10 +17,11 @@
 	assert.equal(retry.kind, 'unknown');
 });
 
-test('an instance whose clock jumps ahead still refuses unknown keys after the log was trimmed too early', async () => {
+test('an instance whose clock jumps ahead still refuses unclaimed keys after the log was trimmed too early', async () => {
 	// The log has trimmed records before the end of its retention time, including the claim of a
-	// recent reservation. Until that time has passed, an unknown key may have been used. A clock set a
-	// day ahead must not shorten it, or the reservation would be executed again.
+	// recent reservation. Until the retention time has passed, a key without a claim in the log may have
+	// been used. Setting the instance's clock a day ahead must not end this period early, or the
+	// reservation would be executed again.
 	const {shard, jump, advance, log, makeClaim} = makeTestShard();
 	await log.append({stream: 'claims-0', record: {kind: 'claims', outcomes: [], claims: [makeClaim('lost', 'order-1')]}});
 	await log.append({stream: 'claims-0', record: {kind: 'claims', outcomes: [], claims: [makeClaim('kept', 'order-2')]}});
@@ -31,5 +33,5 @@
 	advance(dayMs);
 	await log.append({stream: 'claims-0', record: {kind: 'claims', outcomes: [], claims: []}});
 	await shard.lookUp(makeClaim('look', 'order-3'));
-	assert.equal((await shard.claim(makeClaim('claim-3', 'order-1'))).kind, 'won'); // eslint-disable-line unicorn/no-await-expression-member -- one look
+	assert.equal((await shard.claim(makeClaim('claim-3', 'order-1'))).kind, 'won'); // eslint-disable-line unicorn/no-await-expression-member -- the value is used only once
 });
--- a/tests/src/routing-runs.test.ts
+++ b/tests/src/routing-runs.test.ts
@@ -27,8 +27,8 @@
 
 test('when a zone is reclaimed under load, every request is answered or correctly refused', async () => {
 	// A third of the engines is reclaimed with five seconds' notice while all are busy. Streams move to
-	// the others. Callers get a complete answer or a refusal, and a request refused as not executed must
-	// not have been executed.
+	// the others. Callers get a complete answer or a refusal, and a request that was refused as not
+	// executed must not have been executed.
 	const summary = await runDeployment(makePlan({isReclaimed: true, load: 1.2, untilMs: 20_000}), findPolicy('lowest cost').make);
 	assert.equal(summary.unanswered, 0);
 	assert.equal(summary.untrueRefusals, 0);
@@ -42,12 +42,12 @@
 	assert.ok(lowestCost.creditsPerThousand < roundRobin.creditsPerThousand);
 });
 
-test('a refusal as not executed is counted as untrue if an engine received the request', () => {
+test('a refusal that reports the request as not executed is counted as untrue if an engine received it', () => {
 	// The summary must detect a daemon that sends a request and then reports it as not executed.
 	const arrival = {
 		kind: 'chat', id: 'chat-1', at: 5000, account: 'bizerte', class: 'question', promptTokens: 10, chain: [], answerTokens: 5,
 	} as const;
-	const summarize = (errorKind: 'over_capacity' | 'backend_failed', hasSeen: boolean) => summarizeRun({
+	const summarize = (errorKind: 'over_capacity' | 'backend_failed', hasReceived: boolean) => summarizeRun({
 		plan: makePlan({}),
 		results: [{
 			arrival, firstTokenAt: undefined, endedAt: 5100, tokens: 0, attempts: 1, errorKind,
@@ -57,7 +57,7 @@
 		unanswered: 0,
 		promptTokens: 0,
 		recomputedTokens: 0,
-		hasSeen: () => hasSeen,
+		hasSeen: () => hasReceived,
 	}).untrueRefusals;
 	assert.equal(summarize('over_capacity', true), 1);
 	assert.equal(summarize('over_capacity', false), 0);
