--- a/scripts/measure/src/routing/run-deployment.ts
+++ b/scripts/measure/src/routing/run-deployment.ts
@@ -234,6 +234,6 @@
 		unanswered: pendingIds.size,
 		promptTokens: totalTokens.promptTokens - warmUpTokens.promptTokens,
 		recomputedTokens: totalTokens.recomputedTokens - warmUpTokens.recomputedTokens,
-		hasSeen: id => simulation.allEngines.some(engine => engine.hasSeen(id)),
+		hasReceived: id => simulation.allEngines.some(engine => engine.hasReceived(id)),
 	});
 };
--- a/scripts/measure/src/routing/simulated-engine.ts
+++ b/scripts/measure/src/routing/simulated-engine.ts
@@ -23,7 +23,7 @@
 	readonly takeEvents: () => CacheEvent[];
 	readonly counts: Readonly<EngineCounts>;
 	/** Whether the engine ever received a job of the request. */
-	readonly hasSeen: (requestId: string) => boolean;
+	readonly hasReceived: (requestId: string) => boolean;
 };
 
 type RunningJob = {
@@ -117,6 +117,6 @@
 		},
 		takeEvents: () => core.takeEvents().map(({kind, blocks}) => ({kind, blocks: blocks.map(block => BigInt(`0x${block}`))})),
 		counts: core.counts,
-		hasSeen: requestId => seenRequestIds.has(requestId),
+		hasReceived: requestId => seenRequestIds.has(requestId),
 	};
 };
--- a/scripts/measure/src/routing/summarize-run.ts
+++ b/scripts/measure/src/routing/summarize-run.ts
@@ -37,7 +37,7 @@
 	readonly unanswered: number;
 	readonly promptTokens: number;
 	readonly recomputedTokens: number;
-	readonly hasSeen: (requestId: string) => boolean;
+	readonly hasReceived: (requestId: string) => boolean;
 };
 
 const millisecondsPerHour = 3_600_000;
@@ -126,7 +126,7 @@
 /** Time from the termination of reclaimed engines to their replacement, for which nothing is paid: `streamMoveMarginMs` + `replacementDelayMs` of run-deployment.ts. */
 const replacementGapMs = 41_500;
 
-export const summarizeRun = ({plan, results, plainMs, plainRefused, unanswered, promptTokens, recomputedTokens, hasSeen}: RunRecord): RunSummary => {
+export const summarizeRun = ({plan, results, plainMs, plainRefused, unanswered, promptTokens, recomputedTokens, hasReceived: hasSeen}: RunRecord): RunSummary => {
 	const {deployment, warmUpMs} = plan;
 	const measured = results.filter(result => result.arrival.at >= warmUpMs);
 	const classes = deployment.class.map((target): ClassSummary => {
--- a/tests/src/routing-runs.test.ts
+++ b/tests/src/routing-runs.test.ts
@@ -57,7 +57,7 @@
 		unanswered: 0,
 		promptTokens: 0,
 		recomputedTokens: 0,
-		hasSeen: () => hasReceived,
+		hasReceived: () => hasReceived,
 	}).untrueRefusals;
 	assert.equal(summarize('over_capacity', true), 1);
 	assert.equal(summarize('over_capacity', false), 0);
