--- a/packages/gateway/src/calls/callers-server.ts
+++ b/packages/gateway/src/calls/callers-server.ts
@@ -5,7 +5,7 @@
 import http from 'node:http';
 import {parseHostAndPort} from '../host-and-port.js';
 
-/** Limits until a configuration is loaded. */
+/** Limits that apply until a configuration sets others. */
 const initialMaxHeaderBytes = 16_384;
 const initialHeadersTimeoutMs = 3000;
 const initialIdleTimeoutMs = 15_000;
@@ -13,7 +13,7 @@
 /** How often Node checks connections for exceeded timeouts. */
 const timeoutCheckIntervalMs = 500;
 
-/** Added to the idle timeout, so that a request sent just before its end is still accepted. */
+/** Added to the idle timeout, so that a request sent just before it expires is still accepted. */
 export const keepAliveMarginMs = 500;
 
 /** Maximum number of connections waiting to be accepted. */
@@ -23,6 +23,7 @@
 
 export type CallersServer = {
 	readonly server: http.Server;
+	/** Host and port as passed to `openCallersServer`. */
 	readonly address: string;
 	/** Attaches the request handler and passes it the queued requests first. */
 	readonly serve: (handler: Handler) => void;
@@ -50,7 +51,7 @@
 		keepAlive: true,
 		keepAliveInitialDelay: 2000,
 	}, dispatch);
-	// Leaves time for slow uploads, as a caller may take as long as its own deadline allows.
+	// Leaves time for slow uploads: a caller may take as long to send its body as its own deadline allows.
 	server.requestTimeout = 60_000;
 	server.on('checkContinue', (request: http.IncomingMessage, response: http.ServerResponse) => {
 		response.writeContinue();
--- a/packages/gateway/src/calls/event-splitter.test.ts
+++ b/packages/gateway/src/calls/event-splitter.test.ts
@@ -18,13 +18,13 @@
 });
 
 test('events are unchanged for any chunking of the bytes', () => {
-	fc.assert(fc.property(fc.array(fc.string({unit: fc.constantFrom('a', 'b', ':'), maxLength: 9}), {minLength: 1, maxLength: 12}), fc.array(fc.nat(40), {maxLength: 20}), (payloads, cuts) => {
+	fc.assert(fc.property(fc.array(fc.string({unit: fc.constantFrom('a', 'b', ':'), maxLength: 9}), {minLength: 1, maxLength: 12}), fc.array(fc.nat(40), {maxLength: 20}), (payloads, chunkLengths) => {
 		const bytes = Buffer.from(payloads.map((payload, index) => `id: ${index}\ndata: ${payload}\n\n`).join(''));
 		const splitter = makeEventSplitter();
 		const output: Buffer[] = [];
 		let position = 0;
-		for (const cut of [...cuts, bytes.length]) {
-			const chunk = bytes.subarray(position, position + cut);
+		for (const chunkLength of [...chunkLengths, bytes.length]) {
+			const chunk = bytes.subarray(position, position + chunkLength);
 			position += chunk.length;
 			const events = chunk.length > 0 ? splitter.push(chunk) : undefined;
 			if (events) {
--- a/packages/gateway/src/leader/collect-usage.ts
+++ b/packages/gateway/src/leader/collect-usage.ts
@@ -1,4 +1,4 @@
-/** Collects the usage and spending of all daemons for the lease record, from the reports of the peers. */
+/** Collects the usage and spending of all daemons for the lease record, from this daemon's own counts and the reports of its peers. */
 import {type Lease} from '@shallotpass/core/lease/lease.js';
 import {computeDemand} from '@shallotpass/core/quotas/account-bucket.js';
 import {computeMaxUsable} from '@shallotpass/core/quotas/compute-ceiling.js';
@@ -12,7 +12,7 @@
  */
 const recordDelayMs = 1200;
 
-/** Usage counted by this daemon and its known peers. The lease record holds the counts of daemons that have stopped. */
+/** Counts the calls that each account started in each usage window, as seen by this daemon and its known peers. The lease record holds the counts of daemons that have stopped. */
 export const collectUsage = (gateway: GatewayState): UsageTable => {
 	let table: UsageTable = Object.fromEntries([...gateway.usage].map(([window, counts]) => [window, {[gateway.incarnation]: counts}]));
 	for (const {usage} of gateway.peers.values()) {
@@ -23,37 +23,37 @@
 };
 
 /**
- * Spending of each account over all daemons within the quota window, projected to the time when a record written now may be
- * replaced by the next one.
+ * Computes what each account has spent on all daemons, for each slot of the quota window. The result is projected `recordDelayMs`
+ * ahead, because a record written now may remain the newest one until then.
  */
 export const projectSpending = (gateway: GatewayState): Lease['spent'] => {
 	const now = gateway.clocks.steady();
-	const accounts: Record<string, number[]> = {};
-	const own = Object.fromEntries([...gateway.spending].map(([account, spending]) => [account, computeSpentSlots(spending, now).map(cost => Math.round(cost))]));
-	for (const spent of [own, ...[...gateway.peers.values()].map(peer => peer.spent)]) {
+	const slotsByAccount: Record<string, number[]> = {};
+	const ownSlots = Object.fromEntries([...gateway.spending].map(([account, spending]) => [account, computeSpentSlots(spending, now).map(cost => Math.round(cost))]));
+	for (const spent of [ownSlots, ...[...gateway.peers.values()].map(peer => peer.spent)]) {
 		for (const [account, slots] of Object.entries(spent)) {
-			accounts[account] = slots.map((cost, index) => cost + (accounts[account]?.[index] ?? 0));
+			slotsByAccount[account] = slots.map((cost, index) => cost + (slotsByAccount[account]?.[index] ?? 0));
 		}
 	}
 
-	const demands = new Map<string, number>();
-	const accountDemands = [
+	const demandByAccount = new Map<string, number>();
+	const reportedDemands = [
 		...[...gateway.buckets].map(([account, bucket]) => [account, computeDemand(bucket, now)] as const),
 		...[...gateway.peers.values()].flatMap(peer => Object.entries(peer.demands)),
 	];
-	for (const [account, demand] of accountDemands) {
-		demands.set(account, (demands.get(account) ?? 0) + demand);
+	for (const [account, demand] of reportedDemands) {
+		demandByAccount.set(account, (demandByAccount.get(account) ?? 0) + demand);
 	}
 
 	const {bounds} = gateway.settings;
 	for (const {name, limit} of gateway.configuration?.configuration.accounts ?? []) {
-		const slots = accounts[name];
+		const slots = slotsByAccount[name];
 		if (limit !== undefined && slots !== undefined) {
-			accounts[name] = predictSlots({
-				slots, demand: demands.get(name) ?? 0, usable: computeMaxUsable(limit, bounds), aheadMs: recordDelayMs, windowMs: bounds.quotaWindowMs,
+			slotsByAccount[name] = predictSlots({
+				slots, demand: demandByAccount.get(name) ?? 0, usable: computeMaxUsable(limit, bounds), aheadMs: recordDelayMs, windowMs: bounds.quotaWindowMs,
 			}).map(cost => Math.round(cost));
 		}
 	}
 
-	return {at: Math.round(gateway.clocks.trueTime() + recordDelayMs), accounts};
+	return {at: Math.round(gateway.clocks.trueTime() + recordDelayMs), accounts: slotsByAccount};
 };
--- a/packages/gateway/src/leader/order-planner.ts
+++ b/packages/gateway/src/leader/order-planner.ts
@@ -9,25 +9,28 @@
 import {getLatencyModel} from '../calls/backend-registry.js';
 import {type GatewayState, peerExpiryMs} from '../gateway-state.js';
 
-/** Delay before reclaimable backend servers of a zone are ordered again after a refusal. The cloud refuses for 12 to 15 s after a mass reclaim. */
+/** Delay before reclaimable backend servers of a zone are ordered again after a refusal. The cloud refuses for 12 to 15 s after a mass reclaim, so that several orders may be refused in a row. */
 const refusalBackoffMs = 3500;
 
-/** Time beyond the boot time of a backend server after which an accepted order counts as not fulfilled. */
+/** Added to the boot time of backend servers. After both, those of an accepted order that are still missing no longer count as starting. */
 const startMarginMs = 2500;
 
-/** Backend servers write their entries every 1.2 s. The directory counts as complete after three times that. */
+/** Time after the first read of the directory until it counts as complete. It exceeds three times the 1.2 s at which backend servers write their entries. */
 const directorySettleMs = 4000;
 
 export type OrderPlanner = {
+	/** Returns no orders until the directory is complete. */
 	readonly planOrders: () => BackendOrder[];
 	readonly recordAccepted: (order: BackendOrder) => void;
 	readonly recordRefusal: (order: BackendOrder) => void;
+	/** Whether the directory lists at least as many backend servers as the order demands. */
 	readonly isFulfilled: (order: BackendOrder) => boolean;
 };
 
 type AcceptedOrder = {
+	/** Number of reclaimable backend servers that the zone should have, including those that ran before the order. */
 	readonly count: number;
-	/** When the ordered backend servers should have started, on the steady clock. */
+	/** Time by which all of them should have registered, on the steady clock. Until then, those that are missing count as starting. */
 	readonly expectedBy: number;
 };
 
@@ -37,10 +40,13 @@
 	/** `service/zone` → the last accepted order of reclaimable backend servers. */
 	const acceptedOrders = new Map<string, AcceptedOrder>();
 	const demandByService = new Map<string, DemandEstimate>();
-	const plannedCounts = new Map<string, number>();
+	const plannedCountByService = new Map<string, number>();
 	const now = (): number => gateway.clocks.steady();
 
-	/** Backend servers that started together register one after the other. An order based on the first few entries would shut down the others. */
+	/**
+	 * Whether all running backend servers have had enough time to register. Those that started together register one after the other,
+	 * and an order based on the first few entries would shut down the others.
+	 */
 	const isDirectoryComplete = (): boolean => gateway.directoryReadAt !== undefined && now() >= gateway.directoryReadAt + directorySettleMs;
 
 	const countReady = (service: string, zone: string, isReclaimable: boolean): number => (gateway.registry.byService.get(service) ?? [])
@@ -62,33 +68,34 @@
 		};
 	});
 
-	/** Mean prefill speed of the ready backend servers, in tokens per millisecond. */
-	const computeMeanSpeed = (service: string): number => {
+	/** Mean prefill speed of the ready backend servers in tokens per millisecond, or the speed assumed for new ones if none is ready. */
+	const computeMeanPrefillSpeed = (service: string): number => {
 		const ready = gateway.registry.byService.get(service) ?? [];
 		const total = ready.reduce((sum, state) => sum + getLatencyModel(gateway.registry, state, now()).tokensPerMs, 0);
 		return ready.length === 0 ? (gateway.registry.latencyModels.get(service) ?? defaultLatencyModel).tokensPerMs : total / ready.length;
 	};
 
-	const countRunning = (service: string): number => (gateway.registry.byService.get(service) ?? [])
+	const countRunningCalls = (service: string): number => (gateway.registry.byService.get(service) ?? [])
 		.reduce((sum, state) => sum + state.running + state.othersRunning, 0);
 
+	/** Updates the demand estimate from the load on all daemons, and returns the numbers of backend servers to plan for. */
 	const estimateDemand = (service: string): Pick<PlanInput, 'needed' | 'assumed'> => {
 		const since = now() - peerExpiryMs;
-		const own = gateway.workRates.get(service);
+		const ownWorkRate = gateway.workRates.get(service);
 		const peerRates = [...gateway.peers.values()].filter(peer => peer.receivedAt >= since).map(peer => peer.work[service] ?? 0);
-		const promptTokensPerSecond = peerRates.reduce((total, rate) => total + rate, own === undefined ? 0 : computeWorkRate(own, now()));
+		const promptTokensPerSecond = peerRates.reduce((total, rate) => total + rate, ownWorkRate === undefined ? 0 : computeWorkRate(ownWorkRate, now()));
 		const serviceConfiguration = gateway.configuration?.servicesByName.get(service);
 		const demand = updateDemandEstimate(demandByService.get(service), {
 			promptTokensPerSecond,
-			running: countRunning(service),
+			running: countRunningCalls(service),
 			present: gateway.registry.byService.get(service)?.length ?? 0,
-			tokensPerMs: computeMeanSpeed(service),
+			tokensPerMs: computeMeanPrefillSpeed(service),
 			places: serviceConfiguration?.engine?.places ?? Infinity,
 			bootMs: serviceConfiguration?.fleet?.bootMs ?? 0,
 		}, now());
 		demandByService.set(service, demand);
-		const needed = roundWithHysteresis(demand.backends, plannedCounts.get(service) ?? 0);
-		plannedCounts.set(service, needed);
+		const needed = roundWithHysteresis(demand.backends, plannedCountByService.get(service) ?? 0);
+		plannedCountByService.set(service, needed);
 		return {needed, assumed: Math.ceil(demand.assumed)};
 	};
 
--- a/packages/gateway/src/store/follow-configuration.ts
+++ b/packages/gateway/src/store/follow-configuration.ts
@@ -22,12 +22,19 @@
 	return true;
 };
 
-/** Share of `stableMs`, the time after a disruption until bounds hold again, after which the configuration counts as out of date. */
+/**
+ * Share of `stableMs` after which a configuration that has not been confirmed as the newest counts as stale.
+ * `stableMs` is the time after a disruption until the bounds must hold again.
+ */
 const staleShareOfStable = 0.75;
 
-/** Share of `stableMs` that a poll waits. It is below the stale share, so that daemons that query the reader do not find its configuration out of date. */
+/**
+ * Share of `stableMs` for which the store may hold a poll until a record arrives. It is below `staleShareOfStable`, so that the daemon
+ * that reads the store confirms its configuration before the daemons that query it consider it stale.
+ */
 const pollShareOfStable = 0.45;
 
+/** Age at which the configuration counts as stale, so that a peer is queried for a newer one. */
 export const getConfigurationStaleMs = (bounds: GatewaySettings['bounds']): number => Math.floor(bounds.stableMs * staleShareOfStable);
 
 const getConfigurationPollMs = (bounds: GatewaySettings['bounds']): number => Math.floor(bounds.stableMs * pollShareOfStable);
@@ -35,7 +42,9 @@
 export type FollowConfigurationOptions = {
 	readonly gateway: GatewayState;
 	readonly platform: Platform;
+	/** Called after a newer configuration from the store was applied. */
 	readonly onConfiguration: () => void;
+	/** While true, other daemons read the store on behalf of this one, and no calls are made. */
 	readonly isPaused: () => boolean;
 	readonly getMaxRetryDelayMs: () => number;
 	readonly signal: AbortSignal;
--- a/packages/gateway/src/telemetry/event-log.ts
+++ b/packages/gateway/src/telemetry/event-log.ts
@@ -6,18 +6,19 @@
 import pino from 'pino';
 import {type EventName, type EventFields} from './log-events.js';
 
-/** Selects the rate limit of a line. Failures have the highest limit, so that lines of successful requests are left out first. */
+/** Selects the rate limit and the level of a line. Failures have the highest limit, so that lines of successful requests are left out first. */
 export type EventCategory = 'routine' | 'failure' | 'state';
 
-/** Rate limit per event. A daemon currently receives about 20 requests per second. */
+/** Rate limit for each event, not for the category as a whole. A daemon currently receives about 20 requests per second. */
 const maxLinesPerSecond: Readonly<Record<EventCategory, number>> = {routine: 40, failure: 200, state: 50};
 
 /** Maximum size of the buffer for a slow reader. Further lines are dropped. */
 const maxBufferedBytes = 1_048_576;
 
-/** Lines are buffered up to this size, so that one system call writes several of them. */
+/** Lines are buffered until they reach this size, so that one system call writes several of them. */
 const minWriteBytes = 4096;
 
+/** Smaller amounts are written at this interval. */
 const flushIntervalMs = 500;
 
 export type EventLog = {
@@ -25,6 +26,7 @@
 	readonly flush: () => void;
 };
 
+/** Lines of one event within one second. */
 type RateWindow = {
 	second: number;
 	written: number;
@@ -35,12 +37,13 @@
 	const destination = pino.destination({
 		dest: 1, sync: false, minLength: minWriteBytes, maxLength: maxBufferedBytes,
 	});
+	/** Number of lines dropped since the start because of a slow reader. */
 	let dropped = 0;
 	destination.on('drop', () => {
 		dropped++;
 	});
 	const logger = pino({base: {instance}, timestamp: pino.stdTimeFunctions.epochTime, formatters: {level: label => ({level: label})}}, destination);
-	const windows = new Map<string, RateWindow>();
+	const windowsByEvent = new Map<string, RateWindow>();
 	const flushTimer = setInterval(() => {
 		destination.flush();
 	}, flushIntervalMs);
@@ -48,8 +51,8 @@
 
 	const isWithinRateLimit = (category: EventCategory, event: string): boolean => {
 		const second = Math.floor(performance.now() / 1000);
-		const window = windows.get(event) ?? {second, written: 0, leftOut: 0};
-		windows.set(event, window);
+		const window = windowsByEvent.get(event) ?? {second, written: 0, leftOut: 0};
+		windowsByEvent.set(event, window);
 		if (window.second !== second) {
 			if (window.leftOut > 0) {
 				const fields: EventFields<'lines_left_out'> = {of: event, count: window.leftOut, dropped};
