--- a/packages/gateway/src/calls/admit-call.ts
+++ b/packages/gateway/src/calls/admit-call.ts
@@ -19,7 +19,7 @@
 const deadlineMarginMs = 20;
 
 /** A configuration that was not confirmed as the newest for this long may lack routes or keys that were added since. */
-const configurationStaleAfterMs = 1500;
+const configurationUnconfirmedAfterMs = 1500;
 
 /** Milliseconds after SIGTERM during which new calls are still accepted. The load balancer stops sending calls after two failed readiness checks, one second apart. */
 const acceptDuringDrainMs = 2600;
@@ -57,7 +57,7 @@
 
 const refuse = (kind: ErrorKind, detail: string, retryAfterS?: number): RefusedCall => new RefusedCall({kind, detail, ...(retryAfterS !== undefined && {retryAfterS})});
 
-const isConfigurationStale = (gateway: GatewayState): boolean => gateway.clocks.steady() > gateway.configurationCheckedAt + configurationStaleAfterMs;
+const isConfigurationUnconfirmed = (gateway: GatewayState): boolean => gateway.clocks.steady() > gateway.configurationCheckedAt + configurationUnconfirmedAfterMs;
 
 const findAccount = (gateway: GatewayState, index: IndexedConfiguration, route: Route, key: string | undefined): Account | RefusedCall | undefined => {
 	const account = key === undefined ? undefined : index.accountsByKey.get(key);
@@ -65,7 +65,7 @@
 		return account;
 	}
 
-	if (isConfigurationStale(gateway)) {
+	if (isConfigurationUnconfirmed(gateway)) {
 		return refuse('no_configuration', 'The key is unknown to a configuration that may be out of date.', 0.5);
 	}
 
@@ -82,7 +82,7 @@
 const resolveTarget = ({gateway, request, head}: CallContext, index: IndexedConfiguration, path: string): RequestTarget | RefusedCall => {
 	const route = findRoute(index, request.headers.host ?? '', path);
 	if (route === undefined) {
-		return isConfigurationStale(gateway)
+		return isConfigurationUnconfirmed(gateway)
 			? refuse('no_configuration', 'No route is known in a configuration that may be out of date.', 0.5)
 			: refuse('not_found', 'No route serves this host and path.');
 	}
--- a/scripts/soak/src/run-caller.ts
+++ b/scripts/soak/src/run-caller.ts
@@ -42,7 +42,7 @@
 			vouchedBy: answer.sealedBy,
 			requestId: answer.requestId,
 			body: answer.body,
-			isWhole: answer.isWhole,
+			isWhole: answer.isComplete,
 		};
 	} catch (error) {
 		return timeout.aborted ? undefined : {kind: 'cut', reason: error instanceof Error ? error.message : String(error)};
--- a/scripts/soak/src/run-soak.ts
+++ b/scripts/soak/src/run-soak.ts
@@ -65,7 +65,7 @@
 	account: execution.account,
 	hasKey: execution.hasKey,
 	at: execution.at,
-	memory: execution.memory,
+	memory: execution.kvCache,
 })));
 
 const injectFaults = async (cluster: SoakCluster, options: SoakOptions): Promise<number> => {
