--- a/xo.config.js
+++ b/xo.config.js
@@ -47,10 +47,10 @@
 		},
 	},
 	{
-		// Words of our own in place of the field's: gossip, report, unconfirmed peer, shared state, warm-up, registry.
+		// Words of our own in place of the field's: gossip, report, unconfirmed peer, shared state, warm-up, registry, outcome, preferred backend server, mass reclaim.
 		files: ['packages/gateway/**/*.ts', 'packages/core/src/gossip/*.ts', 'platform/**/*.ts'],
 		rules: {
-			'id-denylist': ['error', 'news', 'strangers', 'stranger', 'tellings', 'telling', 'beliefs', 'belief', 'opening', 'book', 'dear'],
+			'id-denylist': ['error', 'news', 'strangers', 'stranger', 'tellings', 'telling', 'beliefs', 'belief', 'opening', 'book', 'dear', 'fate', 'home', 'homes', 'waves', 'wave'],
 		},
 	},
 	{
