--- a/apps/daemon/src/start-daemon.ts
+++ b/apps/daemon/src/start-daemon.ts
@@ -87,7 +87,7 @@
 	return address.includes(':') ? `[${address}]:${port}` : `${address}:${port}`;
 };
 
-/** Measured on two deployments (docs/design/fleet.md). An instance runs for at least an hour, because its cache is worth more than what a short stop saves. */
+/** An instance runs for at least an hour, because its cache is worth more than what a short stop saves. */
 const fleetPlannerOptions = {
 	headroom: 1.3, peakReserve: 6, minSlots: 1, minRuntimeMs: 3_600_000,
 };
--- a/packages/core/src/routing/compute-cost.ts
+++ b/packages/core/src/routing/compute-cost.ts
@@ -10,8 +10,7 @@
 
 /**
  * Penalty for exceeding the concurrency limit of a backend server. At 2000, calls moved to other
- * backend servers earlier and recomputed more prompt tokens (0.17 instead of 0.13 of them in the
- * Ben Salah deployment at full load).
+ * backend servers earlier and recomputed more prompt tokens.
  */
 const overLimitPenaltyMs = 400;
 
@@ -29,8 +28,7 @@
 
 /**
  * Weight of the prefill, which takes engine time and evicts another prompt from the cache that will
- * have to be recomputed. In `measure -- routing`, 12 caused less recomputation than 8 on both
- * deployments.
+ * have to be recomputed. 12 caused less recomputation than 8.
  */
 const prefillFactor = 12;
 
--- a/packages/tasks/src/claim-service.ts
+++ b/packages/tasks/src/claim-service.ts
@@ -108,16 +108,16 @@
 			return {kind: 'unavailable', detail: `${id} has no address`};
 		}
 
-		const peerHop = span?.startChild('peer', {peer: id});
+		const peerSpan = span?.startChild('peer', {peer: id});
 		let failure: unknown;
 		try {
 			const timeoutAt = Math.min(deadline, clock.now() + peerTimeoutMs) as Deadline;
-			return await client.call(address, 'claim', {claim, isNew, traceparent: peerHop?.getTraceparent()}, timeoutAt);
+			return await client.call(address, 'claim', {claim, isNew, traceparent: peerSpan?.getTraceparent()}, timeoutAt);
 		} catch (error) {
 			failure = error;
 			return {kind: 'unavailable', detail: error instanceof Error ? error.message : `${id} does not answer`};
 		} finally {
-			peerHop?.end(failure);
+			peerSpan?.end(failure);
 		}
 	};
 
