--- a/scripts/run-tests.js
+++ b/scripts/run-tests.js
@@ -1,8 +1,9 @@
 /**
  * Runs all compiled test files, or only those whose path contains one of the arguments.
  * Fails if there are none, so that a broken build does not count as a pass.
+ * A failure of a test that KNOWN-RED.txt lists is printed and does not fail the run.
  */
-import {readdirSync} from 'node:fs';
+import {existsSync, readdirSync, readFileSync} from 'node:fs';
 import path from 'node:path';
 import process from 'node:process';
 import {run} from 'node:test';
@@ -29,8 +30,25 @@
 	process.exit(1);
 }
 
+/** Names of the tests that are known to fail, from the lines `test: NAME`. */
+const listKnownRed = () => existsSync('KNOWN-RED.txt')
+	? readFileSync('KNOWN-RED.txt', 'utf8').split('\n').filter(line => line.startsWith('test: ')).map(line => line.slice('test: '.length).trim())
+	: [];
+
+const knownRed = new Set(listKnownRed());
+const failedKnownRed = [];
 const stream = run({files: files.map(file => path.resolve(file)), concurrency: maxConcurrentFiles, timeout: 300_000});
-stream.on('test:fail', () => {
+stream.on('test:fail', ({name}) => {
+	if (knownRed.has(name)) {
+		failedKnownRed.push(name);
+		return;
+	}
+
 	process.exitCode = 1;
 });
+process.on('exit', () => {
+	for (const name of knownRed) {
+		process.stdout.write(`known red, ${failedKnownRed.includes(name) ? 'failed' : 'not failed'} in this run: ${name}\n`);
+	}
+});
 stream.compose(spec).pipe(process.stdout);
